--- a/internal/coordinator/assign.go
+++ b/internal/coordinator/assign.go
@@ -7,63 +7,65 @@
 	"github.com/bellgap/bellgap/internal/placement"
 )
 
-// assign gives engines without an owner to the live member with the best hash that is under its share; members in the engine's zone go first.
-func (s *State) assign(now time.Time) {
+// assignEngines gives each engine without an owner to a live member. Among the members that own fewer engines than their share, it
+// prefers those in the engine's zone, then the best hash rank. If no member is below its share, zone and hash rank alone decide.
+func (s *State) assignEngines(now time.Time) {
 	if !s.cfg.Reclaim && now.Sub(s.cfg.Started) < s.cfg.Term {
 		return
 	}
-	live := s.live()
-	if len(live) == 0 {
+	liveBoxes := s.findLiveBoxes()
+	if len(liveBoxes) == 0 {
 		return
 	}
-	load := s.load()
-	share := s.share(len(live))
-	for _, name := range s.engineNames() {
+	engineCounts := s.countEngines()
+	fairShare := s.sharePerBox(len(liveBoxes))
+	for _, name := range s.sortedEngineNames() {
 		o := s.owners[name]
-		if _, declared := s.zones[name]; !declared || o.Owner != "" {
+		if _, declared := s.engineZones[name]; !declared || o.Owner != "" {
 			continue
 		}
-		if now.Before(s.heldUntil[name]) {
-			if h := s.heldFor[name]; s.cfg.Reclaim && !s.Collecting(now) && slices.Contains(live, h.box) && s.members[h.box].Incarnation != h.released {
-				s.own(o, h.box)
-				load[h.box]++
+		if now.Before(s.reservedUntil[name]) {
+			if reserved := s.reservedFor[name]; s.cfg.Reclaim && !s.Collecting(now) && slices.Contains(liveBoxes, reserved.box) &&
+				s.members[reserved.box].Incarnation != reserved.excludedIncarnation {
+				s.setOwner(o, reserved.box)
+				engineCounts[reserved.box]++
 			}
 			continue
 		}
-		order := s.preferZone(s.zones[name], placement.Rank(name, live))
-		pick := order[0]
-		for _, box := range order {
-			if load[box] < share {
-				pick = box
+		candidates := s.preferZone(s.engineZones[name], placement.Rank(name, liveBoxes))
+		chosen := candidates[0]
+		for _, box := range candidates {
+			if engineCounts[box] < fairShare {
+				chosen = box
 				break
 			}
 		}
-		load[pick]++
-		s.own(o, pick)
+		engineCounts[chosen]++
+		s.setOwner(o, chosen)
 	}
 }
 
-func (s *State) own(o *Ownership, box string) {
-	s.epoch++
-	o.Owner, o.Epoch = box, s.epoch
-	delete(s.heldFor, o.Engine)
+func (s *State) setOwner(o *Ownership, box string) {
+	s.highestEpoch++
+	o.Owner, o.Epoch = box, s.highestEpoch
+	delete(s.reservedFor, o.Engine)
 }
 
-// preferZone moves the members of a zone to the front and keeps the order otherwise.
+// preferZone moves the boxes of a zone to the front and otherwise keeps their order.
 func (s *State) preferZone(zone string, boxes []string) []string {
-	near := make([]string, 0, len(boxes))
-	var far []string
+	sameZone := make([]string, 0, len(boxes))
+	var otherZones []string
 	for _, b := range boxes {
 		if s.members[b].Zone == zone {
-			near = append(near, b)
+			sameZone = append(sameZone, b)
 		} else {
-			far = append(far, b)
+			otherZones = append(otherZones, b)
 		}
 	}
-	return append(near, far...)
+	return append(sameZone, otherZones...)
 }
 
-func (s *State) engineNames() []string {
+func (s *State) sortedEngineNames() []string {
 	names := make([]string, 0, len(s.owners))
 	for n := range s.owners {
 		names = append(names, n)
@@ -72,10 +74,10 @@
 	return names
 }
 
-func (s *State) live() []string {
+func (s *State) findLiveBoxes() []string {
 	var boxes []string
 	for b, m := range s.members {
-		if !m.Leaving && !slices.Contains(s.leaving, b) && !s.silent(s.now, m) {
+		if !m.Leaving && !slices.Contains(s.listedLeaving, b) && !s.isSilent(s.lastTick, m) {
 			boxes = append(boxes, b)
 		}
 	}
@@ -83,34 +85,36 @@
 	return boxes
 }
 
-func (s *State) load() map[string]int {
-	load := map[string]int{}
+func (s *State) countEngines() map[string]int {
+	counts := map[string]int{}
 	for _, o := range s.owners {
-		load[o.Owner]++
+		counts[o.Owner]++
 	}
-	return load
+	return counts
 }
 
-// share returns how many engines are one box's part among so many, none if there are no boxes.
-func (s *State) share(boxes int) int {
+// sharePerBox returns the number of declared engines per box, rounded up, or 0 if there are no boxes.
+func (s *State) sharePerBox(boxes int) int {
 	if boxes == 0 {
 		return 0
 	}
-	return (len(s.zones) + boxes - 1) / boxes
+	return (len(s.engineZones) + boxes - 1) / boxes
 }
 
-// release picks what a member should hand over: all when it leaves, and what is above its share when boxes have joined.
-func (s *State) release(now time.Time, m *member, grants []Ownership) []string {
-	if s.keep == 0 || now.Sub(s.cfg.Started) < s.cfg.Term {
+// enginesToRelease returns the engines that a member is to hand over to other boxes. After boxes have joined, these are the engines above
+// its share, except engines whose previous owner may still have requests in flight. A leaving member hands over all engines, unless
+// Config.Reclaim lets it keep its share.
+func (s *State) enginesToRelease(now time.Time, m *member, grants []Ownership) []string {
+	if s.keepLimit == 0 || now.Sub(s.cfg.Started) < s.cfg.Term {
 		return nil
 	}
-	keep := s.keep
-	leaving := m.Leaving || slices.Contains(s.leaving, m.Box)
+	keepLimit := s.keepLimit
+	leaving := m.Leaving || slices.Contains(s.listedLeaving, m.Box)
 	if leaving && !s.cfg.Reclaim {
-		keep = 0
+		keepLimit = 0
 	}
 	var names []string
-	for _, o := range grants[min(keep, len(grants)):] {
+	for _, o := range grants[min(keepLimit, len(grants)):] {
 		if o.Previous == "" || leaving {
 			names = append(names, o.Engine)
 		}
--- a/internal/coordinator/batch.go
+++ b/internal/coordinator/batch.go
@@ -11,55 +11,55 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Batch is heartbeats of several boxes, passed on by one of them. It carries what that box knows in place of what they know: it is told of
-// changes once and tells them itself.
+// Batch contains the heartbeats of several boxes, forwarded by one of these boxes (the aggregator). Known and MapGeneration describe the
+// state of the aggregator only: it receives each change once and distributes it to the other boxes.
 type Batch struct {
-	// Box is the one that passes on.
+	// Box names the aggregator, which forwards the heartbeats.
 	Box           string                      `json:"box"`
 	Beats         []Beat                      `json:"beats"`
 	Known         map[string]objects.Position `json:"known,omitempty"`
 	MapGeneration int64                       `json:"map_generation,omitempty"`
 }
 
-// Answer is what a coordinator says to one heartbeat of a batch.
+// Answer is the coordinator's response to one heartbeat of a batch.
 type Answer struct {
-	// Code is result.OK, or why there is no reply.
+	// Code is result.OK, or the error because of which Reply is empty.
 	Code  result.Code `json:"code"`
 	Reply Reply       `json:"reply,omitzero"`
 }
 
-// BatchReply answers a Batch.
+// BatchReply is the response to a Batch.
 type BatchReply struct {
-	// Answers are in the order of the heartbeats.
+	// Answers has one entry for each heartbeat of the batch, in the same order.
 	Answers []Answer `json:"answers"`
 	News    News     `json:"news"`
 }
 
-// News is what a box is told beside its grants.
+// News contains the changes that a box receives in addition to its grants.
 type News struct {
-	// Changes is what the teller knows beyond Beat.Known, Map what has changed of the cell map.
+	// Changes lists object changes after the positions in Beat.Known. Map contains the changes of the cell map.
 	Changes []objects.KindChanges `json:"changes,omitempty"`
 	Map     *Delta                `json:"map,omitempty"`
-	// StoreAge is the time since the platform's store last answered the coordinator, whoever tells it.
+	// StoreAge is the time since the platform's store last answered the coordinator, also if an aggregator forwards it.
 	StoreAge time.Duration `json:"store_age,omitempty"`
-	// Confirmed says, for the kinds of which the age matters to the receiver, how old the teller's own word is.
+	// Confirmed holds the age of the sender's data for each object kind whose age matters to the receiver.
 	Confirmed map[string]objects.Confirmation `json:"confirmed,omitempty"`
 }
 
-// Sum returns a checksum of what a box is granted, never zero, so that grants that stand as they were need not be told again.
+// Sum returns a checksum of the grants of a box. It is never zero. Unchanged grants are recognized by it and not sent again.
 func Sum(grants []Ownership) uint64 {
-	d := xxhash.New()
+	digest := xxhash.New()
 	for _, g := range grants {
-		for _, word := range []string{g.Engine, g.Owner, strconv.FormatUint(g.Epoch, 10), g.Previous} {
-			// A digest takes every write.
-			_, _ = d.WriteString(word)
-			_, _ = d.WriteString("\x00")
+		for _, field := range []string{g.Engine, g.Owner, strconv.FormatUint(g.Epoch, 10), g.Previous} {
+			// Writing to a digest never fails.
+			_, _ = digest.WriteString(field)
+			_, _ = digest.WriteString("\x00")
 		}
 	}
-	return max(1, d.Sum64())
+	return max(1, digest.Sum64())
 }
 
-// Holdings is the part of a heartbeat that seldom changes.
+// Holdings is the part of a heartbeat that rarely changes.
 type Holdings struct {
 	Member   Member
 	Released []Release
@@ -68,7 +68,7 @@
 	Lapsed   []string
 }
 
-// Equal reports whether both say the same.
+// Equal reports whether h and o have the same content.
 func (h Holdings) Equal(o Holdings) bool {
 	return h.Member == o.Member && slices.Equal(h.Released, o.Released) && slices.Equal(h.Draining, o.Draining) && slices.Equal(h.Owned, o.Owned) &&
 		slices.Equal(h.Lapsed, o.Lapsed)
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// zoneOf returns a settled zone of boxes with two engines each.
-func zoneOf(boxes int) (s *coordinator.State, beats []coordinator.Beat, engines []coordinator.Engine) {
+// newZoneState returns the state of a zone with two engines per box. All engines are assigned and the map is published.
+func newZoneState(boxes int) (s *coordinator.State, beats []coordinator.Beat, engines []coordinator.Engine) {
 	start := time.Unix(1000, 0)
 	s = coordinator.New(coordinator.Config{Cell: "z", Lease: 1, Term: 4 * time.Second, Started: start.Add(-time.Minute)}, coordinator.Map{})
 	for i := range 2 * boxes {
@@ -37,7 +37,7 @@
 func BenchmarkBeat(b *testing.B) {
 	for _, n := range zoneSizes {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
-			s, beats, _ := zoneOf(n)
+			s, beats, _ := newZoneState(n)
 			now := time.Unix(1001, 0)
 			in, _ := json.Marshal(beats[0])
 			out, _ := json.Marshal(s.Reply(now, beats[0].Member.Box))
@@ -58,7 +58,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range zoneSizes {
 		b.Run(fmt.Sprintf("boxes=%d", n), func(b *testing.B) {
-			s, _, engines := zoneOf(n)
+			s, _, engines := newZoneState(n)
 			now := time.Unix(1001, 0)
 			size, _ := json.Marshal(s.Map())
 			for b.Loop() {
--- a/internal/coordinator/delta.go
+++ b/internal/coordinator/delta.go
@@ -7,9 +7,10 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// Delta is what changed between two published maps of a cell. It is small where the maps are large. Lists that are short stand in Head whole.
+// Delta contains the changes between two published maps of a cell. Only the long lists of a map, its members and owners, are sent as
+// changes; Head contains the short lists in full.
 type Delta struct {
-	// From is the generation that the delta applies to; zero applies to any and replaces it whole.
+	// From is the generation of the map that the delta applies to. If it is zero, the delta applies to any map and replaces it completely.
 	From int64 `json:"from"`
 	// Head is the newer map without its members and owners.
 	Head        Map         `json:"head"`
@@ -17,53 +18,53 @@
 	MembersGone []string    `json:"members_gone,omitempty"`
 	Owners      []Ownership `json:"owners,omitempty"`
 	OwnersGone  []string    `json:"owners_gone,omitempty"`
-	// Version is that of the stored object.
+	// Version is the version of the stored map object.
 	Version objects.Position `json:"version"`
 }
 
-// Diff returns the delta from one map to a newer one; from the zero map it is the whole newer map.
+// Diff returns the delta from one map to a newer map. If from is the zero map, the delta contains the whole newer map.
 func Diff(from, to Map) Delta {
 	d := Delta{From: from.Generation, Head: to}
 	d.Head.Members, d.Head.Owners = nil, nil
-	d.Members, d.MembersGone = changed(from.Members, to.Members, func(m Member) string { return m.Box })
-	d.Owners, d.OwnersGone = changed(from.Owners, to.Owners, func(o Ownership) string { return o.Engine })
+	d.Members, d.MembersGone = diffLists(from.Members, to.Members, func(m Member) string { return m.Box })
+	d.Owners, d.OwnersGone = diffLists(from.Owners, to.Owners, func(o Ownership) string { return o.Engine })
 	return d
 }
 
-// Sizes in a message, about.
+// Approximate encoded sizes in bytes of the parts of a delta.
 const (
-	headSize   = 200
-	memberSize = 160
-	ownerSize  = 80
-	nameSize   = 20
-	heldSize   = 200
+	approxHeadSize        = 200
+	approxMemberSize      = 160
+	approxOwnerSize       = 80
+	approxNameSize        = 20
+	approxQuarantinedSize = 200
 )
 
-// Size returns about how many bytes the delta takes in a message, without encoding it.
+// Size returns the approximate size of the encoded delta in bytes, without encoding it.
 func (d Delta) Size() int {
-	return headSize + memberSize*len(d.Members) + ownerSize*len(d.Owners) + nameSize*(len(d.MembersGone)+len(d.OwnersGone)+len(d.Head.Leaving)) +
-		heldSize*len(d.Head.Quarantined)
+	return approxHeadSize + approxMemberSize*len(d.Members) + approxOwnerSize*len(d.Owners) +
+		approxNameSize*(len(d.MembersGone)+len(d.OwnersGone)+len(d.Head.Leaving)) + approxQuarantinedSize*len(d.Head.Quarantined)
 }
 
-func changed[T comparable](from, to []T, name func(T) string) (now []T, gone []string) {
-	had := make(map[string]T, len(from))
+func diffLists[T comparable](from, to []T, key func(T) string) (changed []T, removed []string) {
+	before := make(map[string]T, len(from))
 	for _, t := range from {
-		had[name(t)] = t
+		before[key(t)] = t
 	}
 	for _, t := range to {
-		if old, ok := had[name(t)]; !ok || old != t {
-			now = append(now, t)
+		if old, ok := before[key(t)]; !ok || old != t {
+			changed = append(changed, t)
 		}
-		delete(had, name(t))
+		delete(before, key(t))
 	}
-	for n := range had {
-		gone = append(gone, n)
+	for n := range before {
+		removed = append(removed, n)
 	}
-	slices.Sort(gone)
-	return now, gone
+	slices.Sort(removed)
+	return changed, removed
 }
 
-// Apply returns the newer map, or false if the delta is not one from m.
+// Apply returns the newer map, or false if the delta does not apply to m.
 func (d Delta) Apply(m Map) (Map, bool) {
 	if d.From == 0 {
 		m = Map{}
@@ -72,26 +73,26 @@
 		return Map{}, false
 	}
 	out := d.Head
-	out.Members = merged(m.Members, d.Members, d.MembersGone, func(m Member) string { return m.Box })
-	out.Owners = merged(m.Owners, d.Owners, d.OwnersGone, func(o Ownership) string { return o.Engine })
+	out.Members = applyChanges(m.Members, d.Members, d.MembersGone, func(m Member) string { return m.Box })
+	out.Owners = applyChanges(m.Owners, d.Owners, d.OwnersGone, func(o Ownership) string { return o.Engine })
 	return out, true
 }
 
-func merged[T any](have, now []T, gone []string, name func(T) string) []T {
-	byName := make(map[string]T, len(have)+len(now))
-	for _, t := range have {
-		byName[name(t)] = t
+func applyChanges[T any](base, changed []T, removed []string, key func(T) string) []T {
+	byKey := make(map[string]T, len(base)+len(changed))
+	for _, t := range base {
+		byKey[key(t)] = t
 	}
-	for _, n := range gone {
-		delete(byName, n)
+	for _, n := range removed {
+		delete(byKey, n)
 	}
-	for _, t := range now {
-		byName[name(t)] = t
+	for _, t := range changed {
+		byKey[key(t)] = t
 	}
-	out := make([]T, 0, len(byName))
-	for _, t := range byName {
+	out := make([]T, 0, len(byKey))
+	for _, t := range byKey {
 		out = append(out, t)
 	}
-	slices.SortFunc(out, func(a, b T) int { return cmp.Compare(name(a), name(b)) })
+	slices.SortFunc(out, func(a, b T) int { return cmp.Compare(key(a), key(b)) })
 	return out
 }
--- a/internal/coordinator/delta_test.go
+++ b/internal/coordinator/delta_test.go
@@ -27,79 +27,82 @@
 	return m
 }
 
-// TestDeltaGivesTheNewerMap draws pairs of maps: the delta between them makes the second out of the first, and nothing else.
-func TestDeltaGivesTheNewerMap(t *testing.T) {
+// TestDeltaProducesNewerMap checks on random pairs of maps that the delta between them turns the first map into the second one, and
+// that it does not apply to any other map.
+func TestDeltaProducesNewerMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		from, to := drawMap(t, 1), drawMap(t, 2)
 		got, ok := coordinator.Diff(from, to).Apply(from)
-		if !ok || !equal(got, to) {
+		if !ok || !equalMaps(got, to) {
 			t.Fatalf("got %+v, want %+v", got, to)
 		}
 		if _, ok := coordinator.Diff(from, to).Apply(to); ok {
-			t.Fatal("a delta applied to another map than its own")
+			t.Fatal("the delta was applied to a map of another generation")
 		}
 		whole, ok := coordinator.Diff(coordinator.Map{}, to).Apply(from)
-		if !ok || !equal(whole, to) {
+		if !ok || !equalMaps(whole, to) {
 			t.Fatalf("got %+v, want %+v", whole, to)
 		}
 	})
 }
 
-func equal(a, b coordinator.Map) bool {
+func equalMaps(a, b coordinator.Map) bool {
 	return fmt.Sprint(a.Members) == fmt.Sprint(b.Members) && fmt.Sprint(a.Owners) == fmt.Sprint(b.Owners) &&
 		a.Generation == b.Generation && a.Lease == b.Lease && a.Cell == b.Cell
 }
 
-// TestSilentBoxIsShownAndKeepsItsEngines: callers are sent elsewhere long before its engines may change hands.
-func TestSilentBoxIsShownAndKeepsItsEngines(t *testing.T) {
+// TestSilentBoxIsMarkedAndKeepsEngines checks that a box that misses heartbeats is marked as silent, so that callers go to other boxes,
+// long before its engines may get another owner.
+func TestSilentBoxIsMarkedAndKeepsEngines(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(coordinator.Config{SilentAfter: beat * 3, Reclaim: true})
-	w.beat("a", "1")
-	w.beat("b", "1")
-	w.tick(0)
-	c.Assert(w.owner(), qt.Not(qt.Equals), "")
-	owner := w.owner()
+	sim := newSimulation(coordinator.Config{SilentAfter: beatInterval * 3, Reclaim: true})
+	sim.sendBeat("a", "1")
+	sim.sendBeat("b", "1")
+	sim.tickAfter(0)
+	c.Assert(sim.owner(), qt.Not(qt.Equals), "")
+	owner := sim.owner()
 	other := map[string]string{"a": "b", "b": "a"}[owner]
 	for range 4 {
-		w.tick(beat)
-		w.beat(other, "1")
+		sim.tickAfter(beatInterval)
+		sim.sendBeat(other, "1")
 	}
-	c.Check(w.member(owner).Silent, qt.IsTrue)
-	c.Check(w.member(other).Silent, qt.IsFalse)
-	c.Check(w.owner(), qt.Equals, owner)
+	c.Check(sim.member(owner).Silent, qt.IsTrue)
+	c.Check(sim.member(other).Silent, qt.IsFalse)
+	c.Check(sim.owner(), qt.Equals, owner)
 }
 
-// TestReturningBoxKeepsItsEngines: a new process of the same box has the engines at once, under a higher epoch.
-func TestReturningBoxKeepsItsEngines(t *testing.T) {
+// TestRestartedBoxKeepsEngines checks that with Reclaim a new process of a box gets its engines at once, with a higher epoch.
+func TestRestartedBoxKeepsEngines(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(coordinator.Config{Reclaim: true, OrderGap: gap})
-	w.beat("a", "1")
-	w.tick(0)
-	c.Assert(w.owner(), qt.Equals, "a")
-	before := w.epoch()
-	w.beat("a", "2")
-	w.tick(beat)
-	c.Check(w.owner(), qt.Equals, "a")
-	c.Check(w.epoch() > before, qt.IsTrue)
+	sim := newSimulation(coordinator.Config{Reclaim: true, OrderGap: orderGap})
+	sim.sendBeat("a", "1")
+	sim.tickAfter(0)
+	c.Assert(sim.owner(), qt.Equals, "a")
+	before := sim.epoch()
+	sim.sendBeat("a", "2")
+	sim.tickAfter(beatInterval)
+	c.Check(sim.owner(), qt.Equals, "a")
+	c.Check(sim.epoch() > before, qt.IsTrue)
 }
 
-// TestOrdersOfTwoOwnersLieApart: an engine whose owner has gone silent is given on only a term and a gap later.
-func TestOrdersOfTwoOwnersLieApart(t *testing.T) {
+// TestOwnerChangeWaitsForTermAndOrderGap checks that the engine of a silent owner gets the next owner only after the term and the order
+// gap.
+func TestOwnerChangeWaitsForTermAndOrderGap(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(coordinator.Config{Reclaim: true, OrderGap: gap})
-	w.beat("a", "1")
-	w.tick(0)
-	c.Assert(w.owner(), qt.Equals, "a")
-	silentSince := w.now
-	for w.owner() != "b" {
-		w.tick(beat)
-		w.beat("b", "1")
-		c.Assert(w.now.Sub(silentSince) < 10*(term+gap), qt.IsTrue)
+	sim := newSimulation(coordinator.Config{Reclaim: true, OrderGap: orderGap})
+	sim.sendBeat("a", "1")
+	sim.tickAfter(0)
+	c.Assert(sim.owner(), qt.Equals, "a")
+	silentSince := sim.now
+	for sim.owner() != "b" {
+		sim.tickAfter(beatInterval)
+		sim.sendBeat("b", "1")
+		c.Assert(sim.now.Sub(silentSince) < 10*(term+orderGap), qt.IsTrue)
 	}
-	c.Check(w.now.Sub(silentSince) >= term+gap, qt.IsTrue, qt.Commentf("%s", w.now.Sub(silentSince)))
+	c.Check(sim.now.Sub(silentSince) >= term+orderGap, qt.IsTrue, qt.Commentf("%s", sim.now.Sub(silentSince)))
 }
 
-// TestDeltaSize compares the size told with what a delta takes in a message.
+// TestDeltaSize checks that Delta.Size is at least half and at most twice the size of the encoded delta.
 func TestDeltaSize(t *testing.T) {
 	for _, boxes := range []int{0, 1, 66, 300} {
 		t.Run(fmt.Sprint(boxes), func(t *testing.T) {
@@ -114,9 +117,9 @@
 				to.Owners = append(to.Owners, coordinator.Ownership{Engine: fmt.Sprint("i-8a458e71e", i), Owner: name, Epoch: uint64(i)})
 			}
 			d := coordinator.Diff(coordinator.Map{}, to)
-			sent, err := json.Marshal(d)
+			encoded, err := json.Marshal(d)
 			c.Assert(err, qt.IsNil)
-			c.Check(d.Size() > len(sent)/2 && d.Size() < 2*len(sent), qt.IsTrue, qt.Commentf("%d told, %d sent", d.Size(), len(sent)))
+			c.Check(d.Size() > len(encoded)/2 && d.Size() < 2*len(encoded), qt.IsTrue, qt.Commentf("estimated %d bytes, encoded %d bytes", d.Size(), len(encoded)))
 		})
 	}
 }
--- a/internal/coordinator/history.go
+++ b/internal/coordinator/history.go
@@ -5,58 +5,59 @@
 	"slices"
 )
 
-// keptDeltas is how many changes of the map are kept to tell what has changed: boxes that miss more get the whole map. At one map a
-// heartbeat it is six seconds.
-const keptDeltas = 16
+// maxDeltas is the number of deltas that a History keeps. Boxes that have missed more deltas get the whole map. With one map per
+// heartbeat interval, 16 deltas cover six seconds.
+const maxDeltas = 16
 
-// History holds the newest cell map and how it came about, for boxes that know an earlier one. It keeps what changed and not the maps, which
-// would be 16 times 0.3 MB at 300 boxes and 3,000 engines.
+// History holds the newest cell map and the latest deltas that led to it, for boxes that have an earlier map. It keeps deltas instead of
+// maps, as 16 maps would take 0.3 MB each at 300 boxes and 3,000 engines.
 type History struct {
 	newest Map
-	// steps hold the changes that led to newest, oldest first; each applies to the generation that the one before made.
-	steps []Delta
+	// deltas lead to newest, oldest first. Each delta applies to the generation that the previous delta results in.
+	deltas []Delta
 }
 
-// Set takes in a map as the newest. One that does not follow from the last replaces all that is known.
+// Set records m as the newest map. A map with neither a higher generation nor a higher lease epoch than the newest map is ignored.
 func (h *History) Set(m Map) {
 	if m.Generation <= h.newest.Generation && m.Lease <= h.newest.Lease {
 		return
 	}
 	if h.newest.Generation > 0 {
-		h.steps = append(h.steps, Diff(h.newest, m))
+		h.deltas = append(h.deltas, Diff(h.newest, m))
 	}
-	if extra := len(h.steps) - keptDeltas; extra > 0 {
-		h.steps = slices.Delete(h.steps, 0, extra)
+	if extra := len(h.deltas) - maxDeltas; extra > 0 {
+		h.deltas = slices.Delete(h.deltas, 0, extra)
 	}
 	h.newest = m
 }
 
-// Reset forgets everything.
+// Reset removes the newest map and all deltas.
 func (h *History) Reset() { *h = History{} }
 
 // Newest returns the newest map.
 func (h *History) Newest() Map { return h.newest }
 
-// Since returns what has changed since a generation, the whole map if that is not known any more, and false if nothing has.
+// Since returns the changes since a generation, or the whole map if the deltas since that generation are no longer kept. It returns false
+// if there is no newer map.
 func (h *History) Since(generation int64) (Delta, bool) {
 	if h.newest.Generation <= generation {
 		return Delta{}, false
 	}
-	from := slices.IndexFunc(h.steps, func(d Delta) bool { return d.From == generation })
-	if generation == 0 || from < 0 {
+	first := slices.IndexFunc(h.deltas, func(d Delta) bool { return d.From == generation })
+	if generation == 0 || first < 0 {
 		return Diff(Map{}, h.newest), true
 	}
-	return join(h.steps[from:]), true
+	return joinDeltas(h.deltas[first:]), true
 }
 
-// join returns one delta that does what several do one after the other.
-func join(steps []Delta) Delta {
-	if len(steps) == 1 {
-		return steps[0]
+// joinDeltas combines consecutive deltas into one delta with the same effect.
+func joinDeltas(deltas []Delta) Delta {
+	if len(deltas) == 1 {
+		return deltas[0]
 	}
-	out := Delta{From: steps[0].From, Head: steps[len(steps)-1].Head}
-	members, owners := newUnion(func(m Member) string { return m.Box }), newUnion(func(o Ownership) string { return o.Engine })
-	for _, d := range steps {
+	out := Delta{From: deltas[0].From, Head: deltas[len(deltas)-1].Head}
+	members, owners := newListChanges(func(m Member) string { return m.Box }), newListChanges(func(o Ownership) string { return o.Engine })
+	for _, d := range deltas {
 		members.add(d.Members, d.MembersGone)
 		owners.add(d.Owners, d.OwnersGone)
 	}
@@ -65,36 +66,36 @@
 	return out
 }
 
-// union joins changes of one list.
-type union[T any] struct {
-	name func(T) string
-	now  map[string]T
-	gone map[string]bool
+// listChanges combines consecutive changes of one list of a map.
+type listChanges[T any] struct {
+	key     func(T) string
+	changed map[string]T
+	removed map[string]bool
 }
 
-func newUnion[T any](name func(T) string) *union[T] {
-	return &union[T]{name: name, now: map[string]T{}, gone: map[string]bool{}}
+func newListChanges[T any](key func(T) string) *listChanges[T] {
+	return &listChanges[T]{key: key, changed: map[string]T{}, removed: map[string]bool{}}
 }
 
-func (u *union[T]) add(now []T, gone []string) {
-	for _, n := range gone {
-		delete(u.now, n)
-		u.gone[n] = true
+func (u *listChanges[T]) add(changed []T, removed []string) {
+	for _, n := range removed {
+		delete(u.changed, n)
+		u.removed[n] = true
 	}
-	for _, t := range now {
-		u.now[u.name(t)] = t
-		delete(u.gone, u.name(t))
+	for _, t := range changed {
+		u.changed[u.key(t)] = t
+		delete(u.removed, u.key(t))
 	}
 }
 
-func (u *union[T]) result() (now []T, gone []string) {
-	for _, t := range u.now {
-		now = append(now, t)
+func (u *listChanges[T]) result() (changed []T, removed []string) {
+	for _, t := range u.changed {
+		changed = append(changed, t)
 	}
-	for n := range u.gone {
-		gone = append(gone, n)
+	for n := range u.removed {
+		removed = append(removed, n)
 	}
-	slices.SortFunc(now, func(a, b T) int { return cmp.Compare(u.name(a), u.name(b)) })
-	slices.Sort(gone)
-	return now, gone
+	slices.SortFunc(changed, func(a, b T) int { return cmp.Compare(u.key(a), u.key(b)) })
+	slices.Sort(removed)
+	return changed, removed
 }
--- a/internal/coordinator/history_test.go
+++ b/internal/coordinator/history_test.go
@@ -9,8 +9,8 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// TestHistoryLeadsToTheNewestMap draws successions of maps: whoever knows any generation gets to the newest with what it is told.
-func TestHistoryLeadsToTheNewestMap(t *testing.T) {
+// TestHistoryDeltasLeadToNewestMap checks on random sequences of maps that the delta since any generation produces the newest map.
+func TestHistoryDeltasLeadToNewestMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h coordinator.History
 		maps := []coordinator.Map{{}}
@@ -24,20 +24,20 @@
 			d, changed := h.Since(known.Generation)
 			if !changed {
 				if known.Generation != newest.Generation {
-					t.Fatalf("nothing told to a box with generation %d of %d", known.Generation, newest.Generation)
+					t.Fatalf("no changes returned since generation %d, newest is %d", known.Generation, newest.Generation)
 				}
 				continue
 			}
 			got, ok := d.Apply(known)
-			if !ok || !equal(got, newest) {
-				t.Fatalf("generation %d became %+v, not %+v", known.Generation, got, newest)
+			if !ok || !equalMaps(got, newest) {
+				t.Fatalf("delta since generation %d produced %+v, want %+v", known.Generation, got, newest)
 			}
 		}
 	})
 }
 
-// TestHistoryOfAnotherCoordinator asks for a map that only the coordinator before had published.
-func TestHistoryOfAnotherCoordinator(t *testing.T) {
+// TestHistoryReturnsWholeMapForUnknownGeneration requests the changes since a generation that only the last coordinator had published.
+func TestHistoryReturnsWholeMapForUnknownGeneration(t *testing.T) {
 	c := qt.New(t)
 	var h coordinator.History
 	h.Set(coordinator.Map{Generation: 7, Lease: 2})
--- a/internal/coordinator/restored_test.go
+++ b/internal/coordinator/restored_test.go
@@ -9,44 +9,46 @@
 	"github.com/bellgap/bellgap/internal/lease"
 )
 
-// TestMapOfAnOlderCopy guards against engines that are granted by a map that the store has brought back, while another box holds them.
-func TestMapOfAnOlderCopy(t *testing.T) {
+// TestRestoredMapDoesNotGrantClaimedEngines guards against granting an engine to its owner in a restored older map while another box
+// holds the engine.
+func TestRestoredMapDoesNotGrantClaimedEngines(t *testing.T) {
 	const (
-		beat, term, ttl, gap = 400 * time.Millisecond, 7 * time.Second, 2 * time.Second, 3200 * time.Millisecond
-		before               = 40
+		beatInterval, term, ttl, orderGap = 400 * time.Millisecond, 7 * time.Second, 2 * time.Second, 3200 * time.Millisecond
+		storedEpoch                       = 40
 	)
-	began := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
-	hold := ttl + term + gap
-	older := Map{
-		Epoch: before, Lease: lease.FirstEpoch(1) + 3,
+	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+	reservationTime := ttl + term + orderGap
+	olderMap := Map{
+		Epoch: storedEpoch, Lease: lease.FirstEpoch(1) + 3,
 		Members: []Member{{Box: "a", Incarnation: "a1"}, {Box: "b", Incarnation: "b1"}, {Box: "long-gone", Incarnation: "c1"}},
-		Owners:  []Ownership{{Engine: "e", Owner: "a", Epoch: before}},
+		Owners:  []Ownership{{Engine: "e", Owner: "a", Epoch: storedEpoch}},
 	}
-	claim := Ownership{Engine: "e", Owner: "b", Epoch: before + 7}
-	beatOf := func(box, incarnation string, owned []Ownership, lapsed ...string) Beat {
+	claim := Ownership{Engine: "e", Owner: "b", Epoch: storedEpoch + 7}
+	newBeat := func(box, incarnation string, owned []Ownership, lapsed ...string) Beat {
 		return Beat{Member: Member{Box: box, Incarnation: incarnation}, Owned: owned, Lapsed: lapsed}
 	}
 	for _, test := range []struct {
 		name  string
 		beats []Beat
-		// owner is who has the engine once the first map may be published, atEnd once nothing of before can hold.
-		owner, atEnd string
-		kept         bool
+		// owner is the expected owner when the first map may be published, finalOwner the owner after all earlier grants have expired.
+		owner, finalOwner string
+		keepsGrant        bool
 	}{
-		{"another box claims it", []Beat{beatOf("a", "a1", nil), beatOf("b", "b1", []Ownership{claim})}, "b", "b", true},
-		{"its box claims it", []Beat{beatOf("a", "a1", older.Owners), beatOf("b", "b1", nil)}, "a", "a", true},
-		{"both claim it", []Beat{beatOf("a", "a1", older.Owners), beatOf("b", "b1", []Ownership{claim})}, "b", "b", true},
-		{"nobody claims it", []Beat{beatOf("a", "a1", nil), beatOf("b", "b1", nil)}, "", "any", false},
-		{"its box comes as a new process", []Beat{beatOf("a", "a2", nil), beatOf("b", "b1", nil)}, "a", "a", false},
-		{"its box comes as a new process, another claims it", []Beat{beatOf("a", "a2", nil), beatOf("b", "b1", []Ownership{claim})}, "b", "b", true},
-		{"its box comes with a grant that has run out", []Beat{beatOf("a", "a1", nil, "e"), beatOf("b", "b1", nil)}, "a", "a", false},
-		{"only another box's grant has run out", []Beat{beatOf("a", "a1", nil), beatOf("b", "b1", nil, "e")}, "", "any", false},
+		{"another box claims it", []Beat{newBeat("a", "a1", nil), newBeat("b", "b1", []Ownership{claim})}, "b", "b", true},
+		{"the owner in the map claims it", []Beat{newBeat("a", "a1", olderMap.Owners), newBeat("b", "b1", nil)}, "a", "a", true},
+		{"the owner in the map and another box claim it", []Beat{newBeat("a", "a1", olderMap.Owners), newBeat("b", "b1", []Ownership{claim})}, "b", "b", true},
+		{"no box claims it", []Beat{newBeat("a", "a1", nil), newBeat("b", "b1", nil)}, "", "any", false},
+		{"the owner in the map restarted", []Beat{newBeat("a", "a2", nil), newBeat("b", "b1", nil)}, "a", "a", false},
+		{"the owner in the map restarted, another box claims it", []Beat{newBeat("a", "a2", nil), newBeat("b", "b1", []Ownership{claim})}, "b", "b", true},
+		{"the grant of the owner in the map expired", []Beat{newBeat("a", "a1", nil, "e"), newBeat("b", "b1", nil)}, "a", "a", false},
+		{"only the grant of another box expired", []Beat{newBeat("a", "a1", nil), newBeat("b", "b1", nil, "e")}, "", "any", false},
 	} {
 		c := qt.New(t)
 		s := New(Config{
-			Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: term, LeaseTTL: ttl, OrderGap: gap, SilentAfter: 3 * beat, UnheardAfter: 2 * beat, Started: began,
+			Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: term, LeaseTTL: ttl, OrderGap: orderGap,
+			SilentAfter: 3 * beatInterval, UnheardAfter: 2 * beatInterval, Started: start,
 			Reclaim: true, Restored: true,
-		}, older)
+		}, olderMap)
 		comment := qt.Commentf("%s", test.name)
 		engines := []Engine{{Name: "e"}}
 		tick := func(now time.Time) {
@@ -55,47 +57,49 @@
 			}
 			s.Tick(now, engines)
 		}
-		c.Check(s.Collecting(began.Add(beat)), qt.IsTrue)
-		tick(began.Add(beat))
+		c.Check(s.Collecting(start.Add(beatInterval)), qt.IsTrue)
+		tick(start.Add(beatInterval))
 		for _, b := range test.beats {
-			c.Check(s.Reply(began.Add(beat), b.Member.Box).Frozen, qt.IsTrue, comment)
+			c.Check(s.Reply(start.Add(beatInterval), b.Member.Box).Frozen, qt.IsTrue, comment)
 		}
-		now := began.Add(2 * beat)
+		now := start.Add(2 * beatInterval)
 		c.Check(s.Collecting(now), qt.IsFalse)
 		tick(now)
 		m := s.Map()
 		s.Published(now, m)
 		c.Check(m.Owners[0].Owner, qt.Equals, test.owner, comment)
-		if test.kept {
+		if test.keepsGrant {
 			c.Check(m.Owners[0].Epoch <= claim.Epoch, qt.IsTrue, comment)
 		} else if test.owner != "" {
 			c.Check(m.Owners[0].Epoch > lease.FirstEpoch(2), qt.IsTrue, comment)
 		}
-		for _, shown := range m.Members {
-			c.Check(shown.Silent, qt.Equals, shown.Box == "long-gone", qt.Commentf("%s: %s", test.name, shown.Box))
+		for _, entry := range m.Members {
+			c.Check(entry.Silent, qt.Equals, entry.Box == "long-gone", qt.Commentf("%s: %s", test.name, entry.Box))
 		}
-		for now.Before(began.Add(hold - beat)) {
-			now = now.Add(beat)
+		for now.Before(start.Add(reservationTime - beatInterval)) {
+			now = now.Add(beatInterval)
 			tick(now)
 			c.Check(s.Map().Owners[0].Owner, qt.Equals, test.owner, comment)
 		}
-		now = began.Add(hold + beat)
+		now = start.Add(reservationTime + beatInterval)
 		tick(now)
 		got := s.Map().Owners[0].Owner
-		if test.atEnd == "any" {
+		if test.finalOwner == "any" {
 			c.Check(got == "a" || got == "b", qt.IsTrue, comment)
 		} else {
-			c.Check(got, qt.Equals, test.atEnd, comment)
+			c.Check(got, qt.Equals, test.finalOwner, comment)
 		}
 	}
 }
 
-// TestLateClaimIsNotTakenAway guards against a reply that takes an engine from a box which claims it only after the first map.
-func TestLateClaimIsNotTakenAway(t *testing.T) {
+// TestLateClaimKeepsEngine guards against a reply that takes an engine away from a box that claims it only after the first map was
+// published.
+func TestLateClaimKeepsEngine(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := New(Config{
-		Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: 7 * time.Second, LeaseTTL: 2 * time.Second, UnheardAfter: time.Second, Started: now, Reclaim: true, Restored: true,
+		Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: 7 * time.Second, LeaseTTL: 2 * time.Second, UnheardAfter: time.Second,
+		Started: now, Reclaim: true, Restored: true,
 	}, Map{Owners: []Ownership{{Engine: "e", Owner: "a", Epoch: 4}}})
 	engines := []Engine{{Name: "e"}}
 	now = now.Add(time.Second)
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -13,57 +13,61 @@
 type Config struct {
 	Cell   string
 	Region string
-	// Box is the box that coordinates.
+	// Box names the coordinating box.
 	Box string
-	// Lease is the epoch of the lease under which this coordinator acts.
+	// Lease is the epoch of this coordinator's lease.
 	Lease uint64
-	// Term is how long a grant holds after the beat that asked for it was sent.
+	// Term is how long a grant is valid after the heartbeat that it answers was sent.
 	Term time.Duration
-	// SilentAfter is how long a box may say nothing before it is shown as silent; zero never shows it.
+	// SilentAfter is how long a box may send no heartbeat before it is shown as silent. Zero disables this.
 	SilentAfter time.Duration
-	// UnheardAfter is the same, from the first stored map on, for a box of the map that was taken over, which has said nothing to this
-	// coordinator yet and may have fallen silent before; zero stands for SilentAfter.
+	// UnheardAfter replaces SilentAfter for boxes that were taken over from the last coordinator's map and have not sent a heartbeat to this
+	// coordinator yet, as they may have been silent before. It is counted from the first stored map. Zero means SilentAfter.
 	UnheardAfter time.Duration
-	// Drain is how long, after its term, a silent box may still have requests in flight: serve-on time and longest request.
+	// Drain is how long a silent box may still have requests in flight after its term. It is the time for which the box keeps serving
+	// without a grant, plus the duration of the longest request.
 	Drain time.Duration
-	// OrderGap is the least time between the last order of one owner and the first of the next, for engines that check no
-	// epochs and must not hear two owners in turn.
+	// OrderGap is the minimum time between the last order of one owner and the first order of the next owner. It is for engines that do not
+	// check epochs: they must not receive alternating orders from two owners.
 	OrderGap time.Duration
-	// Reclaim lets a box that comes back as a new process have the engines of its former one at once, and lets a leaving box
-	// keep its engines until it goes. It asks that the platform ends a box's process before it starts the next.
+	// Reclaim lets the new process of a restarted box take over the engines of its last process at once, and lets a leaving box keep its
+	// engines until it stops. It requires that the platform ends a box's process before it starts the next one.
 	Reclaim bool
-	// Started is when the lease was taken; no engine changes hands within Term of it, as the last coordinator's grants may hold.
+	// Started is when the lease was acquired. No engine changes its owner within Term after it, as grants of the last coordinator may
+	// still be valid.
 	Started time.Time
-	// Lapsed names the box whose lease ran out, empty if it was given up or is this box's own.
+	// Lapsed names the last coordinator if its lease expired. It is empty if the lease was released or belonged to this box.
 	Lapsed string
-	// Restored says that the store has come back from an older copy since the last map was written, or may have lost it. What the map says of engines and
-	// boxes may be out of date then: boxes say themselves what they own, and an engine that nobody claims is held until all grants of before have run out,
-	// those of a coordinator that has not heard of it included, whose lease lasts LeaseTTL.
+	// Restored means that the store was restored from an older copy after the last map was written, or may have lost that map. The engines
+	// and boxes in the stored map may be out of date then, so boxes report which engines they own. An engine that no box claims stays
+	// reserved until all earlier grants have expired. These include grants of a coordinator that has not noticed the restore.
 	Restored bool
+	// LeaseTTL is how long the lease of a coordinator that has not noticed the restore may last.
 	LeaseTTL time.Duration
 }
 
 type member struct {
 	Member
-	// seen is when the box was last heard; of an inherited one, when this coordinator took over, as its grants may hold for a term from
-	// shortly before.
-	seen time.Time
-	// inherited says that this coordinator has only taken the box over from the map of the one before and not heard from it.
+	// lastSeen is when the last heartbeat of the box arrived. For an inherited box it is when this coordinator took over, as the grants of
+	// the box may have been renewed for a whole term shortly before.
+	lastSeen time.Time
+	// inherited means that the box comes from the last coordinator's map and has not sent a heartbeat to this coordinator yet.
 	inherited bool
 	released  []Release
-	// sequence is that of the newest heartbeat, base that of the last one in full.
-	sequence, base uint64
-	// busy lists the engines that the box owns, as far as it knows, or still has requests in flight on.
-	busy []string
-	// owned is what the box said it owns.
+	// sequence is the number of the newest heartbeat, baseSequence the number of the last full heartbeat.
+	sequence, baseSequence uint64
+	// busyEngines lists the engines that the box reported as owned, lapsed or draining. It may have requests in flight on them.
+	busyEngines []string
+	// owned lists the grants that the box reported.
 	owned []Ownership
 }
 
-// holder is the box that an engine is held for. If it gave the engine up itself, released names the process that did: only the
-// next one wants it back.
-type holder struct {
-	box      string
-	released string
+// reservation names the box that an engine is reserved for. excludedIncarnation is the process of the box that released the engine or
+// did not claim it: that process does not get the engine back, but a later process of the box may. If it is empty, any process of the
+// box may.
+type reservation struct {
+	box                 string
+	excludedIncarnation string
 }
 
 // State is the coordinator's state. One goroutine uses it.
@@ -71,77 +75,78 @@
 	cfg     Config
 	members map[string]*member
 	owners  map[string]*Ownership
-	// zones holds the zone of each declared engine.
-	zones map[string]string
-	// freedAt is when an engine lost its last owner, heldUntil how long no other box may give it orders, and heldFor who may
-	// have it back before.
-	freedAt   map[string]time.Time
-	heldUntil map[string]time.Time
-	heldFor   map[string]holder
-	// published is the last map stored by this coordinator; nothing is granted before the first.
+	// engineZones holds the zone of each declared engine.
+	engineZones map[string]string
+	// freedAt is when an engine lost its last owner. Until reservedUntil no other box may send orders to the engine. The box in
+	// reservedFor may get the engine back before that time.
+	freedAt       map[string]time.Time
+	reservedUntil map[string]time.Time
+	reservedFor   map[string]reservation
+	// published is the last map stored by this coordinator. Nothing is granted before the first map is stored.
 	published    Map
 	hasPublished bool
-	// grantsOf indexes the owners of the published map by box: answering a heartbeat must not cost a look at every engine of the cell.
-	grantsOf map[string][]Ownership
-	// toldAt is when the first of them was stored: from then on boxes can learn of this coordinator.
-	toldAt time.Time
-	epoch  uint64
-	// now is the time of the last Tick, as of which silent boxes are shown, and keep the share of a box as of then.
-	now  time.Time
-	keep int
-	// leaving holds the boxes that the platform says are leaving.
-	leaving []string
+	// grantsByBox indexes the owners of the published map by box, as answering a heartbeat must not iterate over every engine of the cell.
+	grantsByBox map[string][]Ownership
+	// firstPublishedAt is when this coordinator's first map was stored. From then on boxes can find this coordinator.
+	firstPublishedAt time.Time
+	highestEpoch     uint64
+	// lastTick is the time of the last Tick. Map marks boxes that were silent at that time. keepLimit is the number of engines per box as of
+	// that Tick; a box above the limit has to release engines.
+	lastTick  time.Time
+	keepLimit int
+	// listedLeaving holds the boxes that the platform's box list marks as leaving.
+	listedLeaving []string
 }
 
 // New returns a State that continues from the cell's last published map.
 func New(cfg Config, last Map) *State {
 	s := &State{
 		cfg: cfg, members: map[string]*member{}, owners: map[string]*Ownership{}, freedAt: map[string]time.Time{},
-		heldUntil: map[string]time.Time{}, heldFor: map[string]holder{}, leaving: last.Leaving,
-		epoch: max(last.Epoch, lease.FirstEpoch(lease.EraOf(cfg.Lease))),
+		reservedUntil: map[string]time.Time{}, reservedFor: map[string]reservation{}, listedLeaving: last.Leaving,
+		highestEpoch: max(last.Epoch, lease.FirstEpoch(lease.EraOf(cfg.Lease))),
 	}
 	for _, m := range last.Members {
-		// A box that let its lease run out has said nothing for that long, and one of an older map may be long gone.
+		// A box whose lease expired has been silent for the duration of the lease. A box of an older map may no longer exist.
 		m.Silent = m.Silent || m.Box == cfg.Lapsed || cfg.Restored
-		s.members[m.Box] = &member{Member: m, seen: cfg.Started, inherited: true}
+		s.members[m.Box] = &member{Member: m, lastSeen: cfg.Started, inherited: true}
 	}
 	for _, o := range last.Owners {
 		if cfg.Restored {
-			s.await(o)
+			s.reserveUntilClaimed(o)
 			continue
 		}
-		s.adopt(o)
+		s.adoptOwnership(o)
 		if o.Owner == "" {
-			s.heldUntil[o.Engine] = cfg.Started.Add(cfg.Term + cfg.OrderGap)
+			s.reservedUntil[o.Engine] = cfg.Started.Add(cfg.Term + cfg.OrderGap)
 		}
 	}
 	return s
 }
 
-// await holds an engine of an older map until a box claims it. If its owner in that map comes as a new process, or with a grant that has run out, it may have it
-// back once all others have had the time to claim it.
-func (s *State) await(o Ownership) {
-	s.epoch = max(s.epoch, o.Epoch)
+// reserveUntilClaimed reserves an engine of an older map until a box claims it. The owner in that map may get the engine back if it
+// sends a heartbeat as a new process or with an expired grant, but only after all other boxes have had the time to claim the engine.
+func (s *State) reserveUntilClaimed(o Ownership) {
+	s.highestEpoch = max(s.highestEpoch, o.Epoch)
 	s.owners[o.Engine] = &Ownership{Engine: o.Engine}
-	s.heldUntil[o.Engine] = s.unclaimedUntil()
+	s.reservedUntil[o.Engine] = s.unreportedGrantsEnd()
 	if m := s.members[o.Owner]; m != nil {
-		s.heldFor[o.Engine] = holder{o.Owner, m.Incarnation}
+		s.reservedFor[o.Engine] = reservation{o.Owner, m.Incarnation}
 	}
 }
 
-// unclaimedUntil returns until when a grant of before may hold that no box has told of.
-func (s *State) unclaimedUntil() time.Time {
+// unreportedGrantsEnd returns the time until which an earlier grant that no box has reported may still be valid.
+func (s *State) unreportedGrantsEnd() time.Time {
 	return s.cfg.Started.Add(s.cfg.LeaseTTL + s.cfg.Term + s.cfg.OrderGap)
 }
 
-// Collecting reports whether boxes are still to say what they own before the first map is published.
+// Collecting reports whether the coordinator still waits for the boxes' reports of owned engines before it publishes its first map.
 func (s *State) Collecting(now time.Time) bool {
 	return s.cfg.Restored && !s.hasPublished && now.Before(s.cfg.Started.Add(s.cfg.UnheardAfter))
 }
 
-func (s *State) adopt(o Ownership) {
-	s.epoch = max(s.epoch, o.Epoch)
-	if have, ok := s.owners[o.Engine]; ok && have.Epoch >= o.Epoch {
+func (s *State) adoptOwnership(o Ownership) {
+	s.highestEpoch = max(s.highestEpoch, o.Epoch)
+	if known, ok := s.owners[o.Engine]; ok && known.Epoch >= o.Epoch {
 		return
 	}
 	s.owners[o.Engine] = &o
@@ -150,256 +155,264 @@
 	}
 }
 
-// Errors of heartbeats that change nothing.
+// Errors for heartbeats that are rejected without any effect.
 var (
-	errLate   = result.New(result.LateBeat, "a later heartbeat of the box has been heard")
-	errNoBase = result.New(result.UnknownBase, "this coordinator does not know what the heartbeat is based on")
+	errLateBeat    = result.New(result.LateBeat, "a later heartbeat of the box has been heard")
+	errUnknownBase = result.New(result.UnknownBase, "this coordinator does not have the full heartbeat that this heartbeat is based on")
 )
 
-// Beat takes a heartbeat in. The answer is made by Reply once the map it implies is published.
+// Beat records a heartbeat. Reply creates the response once the map that results from the heartbeat is published.
 func (s *State) Beat(now time.Time, b Beat) error {
 	m := s.members[b.Member.Box]
-	again := m != nil && m.Incarnation == b.Member.Incarnation
-	if again && b.Sequence != 0 && b.Sequence <= m.sequence {
-		return errLate
+	sameProcess := m != nil && m.Incarnation == b.Member.Incarnation
+	if sameProcess && b.Sequence != 0 && b.Sequence <= m.sequence {
+		return errLateBeat
 	}
 	if b.Base != 0 {
-		if !again || m.inherited || m.base != b.Base {
-			return errNoBase
+		if !sameProcess || m.inherited || m.baseSequence != b.Base {
+			return errUnknownBase
 		}
-		m.seen, m.sequence = now, b.Sequence
+		m.lastSeen, m.sequence = now, b.Sequence
 		return nil
 	}
-	if m != nil && !again {
-		s.returned(now, m)
+	if m != nil && !sameProcess {
+		s.handleNewProcess(now, m)
 	}
-	busy := slices.Concat(b.Draining, b.Lapsed)
+	busyEngines := slices.Concat(b.Draining, b.Lapsed)
 	for _, o := range b.Owned {
-		busy = append(busy, o.Engine)
-		s.adopt(o)
+		busyEngines = append(busyEngines, o.Engine)
+		s.adoptOwnership(o)
 	}
 	for _, engine := range b.Lapsed {
-		if s.cfg.Restored && s.heldFor[engine].box == b.Member.Box {
-			s.heldFor[engine] = holder{box: b.Member.Box}
+		if s.cfg.Restored && s.reservedFor[engine].box == b.Member.Box {
+			s.reservedFor[engine] = reservation{box: b.Member.Box}
 		}
 	}
 	s.members[b.Member.Box] = &member{
-		Member: b.Member, seen: now, released: b.Released, busy: busy, owned: b.Owned, sequence: b.Sequence, base: b.Sequence,
+		Member: b.Member, lastSeen: now, released: b.Released, busyEngines: busyEngines, owned: b.Owned,
+		sequence: b.Sequence, baseSequence: b.Sequence,
 	}
 	return nil
 }
 
-// Heard is what a coordinator goes by when it judges whether a box is there.
+// Heard holds the data by which a coordinator decides whether a box is silent.
 type Heard struct {
-	// Age is the time since it last heard from the box, or since it took over.
+	// Age is the time since the last heartbeat of the box, or since the coordinator took over if there was none.
 	Age time.Duration
-	// Inherited says that it has not heard from the box itself.
+	// Inherited means that the box comes from the last coordinator's map and has sent no heartbeat to this coordinator yet.
 	Inherited bool
 }
 
-// Heard returns what is known of a box, for the log; of one that is no member, nothing.
+// Heard returns the heartbeat age of a box for the log, or the zero value if the box is not a member.
 func (s *State) Heard(now time.Time, box string) Heard {
 	m := s.members[box]
 	if m == nil {
 		return Heard{}
 	}
-	return Heard{Age: now.Sub(m.seen), Inherited: m.inherited}
+	return Heard{Age: now.Sub(m.lastSeen), Inherited: m.inherited}
 }
 
-// StoodStill takes in that this process has stood still for some time. Whom it has not heard meanwhile it could not hear: all count as heard that much
-// later, so that nobody is shown as silent or loses engines for it.
+// StoodStill corrects the members' last heartbeat times after this process was suspended for d. It could not receive heartbeats during
+// that time, so all times are moved forward by d: no box is shown as silent or loses engines because of the suspension.
 func (s *State) StoodStill(now time.Time, d time.Duration) {
 	for _, m := range s.members {
-		if m.seen = m.seen.Add(d); m.seen.After(now) {
-			// It has been heard since.
-			m.seen = now
+		if m.lastSeen = m.lastSeen.Add(d); m.lastSeen.After(now) {
+			// A heartbeat has arrived since the suspension.
+			m.lastSeen = now
 		}
 	}
 }
 
-// silent reports whether a member has missed its heartbeats. One that was silent for the coordinator before stays so until this one
-// hears from it: seen, which is the takeover for it, is when its grants were last good at the latest, not when it was last there.
-// Without this a lost box is shown to callers for another SilentAfter at each change of coordinator.
-func (s *State) silent(now time.Time, m *member) bool {
+// isSilent reports whether a member has missed its heartbeats. A member that was silent for the last coordinator stays silent until it
+// sends a heartbeat to this coordinator. Its lastSeen is the time of the takeover, which limits how long its grants may be valid; it is
+// not the time of its last heartbeat. Without this rule a lost box would be shown to callers for another SilentAfter after each change
+// of coordinator.
+func (s *State) isSilent(now time.Time, m *member) bool {
 	switch {
 	case s.cfg.SilentAfter == 0:
 		return false
 	case m.inherited:
-		return m.Silent || s.hasPublished && now.Sub(s.toldAt) > cmp.Or(s.cfg.UnheardAfter, s.cfg.SilentAfter)
+		return m.Silent || s.hasPublished && now.Sub(s.firstPublishedAt) > cmp.Or(s.cfg.UnheardAfter, s.cfg.SilentAfter)
 	default:
-		return now.Sub(m.seen) > s.cfg.SilentAfter
+		return now.Sub(m.lastSeen) > s.cfg.SilentAfter
 	}
 }
 
-// returned takes in that a box has come back as a new process.
-func (s *State) returned(now time.Time, m *member) {
+// handleNewProcess updates the ownership of a box's engines after the box has restarted as a new process.
+func (s *State) handleNewProcess(now time.Time, m *member) {
 	previous := m.Box + "/" + m.Incarnation
 	if !s.cfg.Reclaim {
-		// The old process may be frozen rather than gone: it counts as silent, not as drained.
-		s.forget(now, m.Box, m.seen.Add(s.cfg.Term), previous)
+		// The old process may be suspended instead of ended, so it is treated as silent and not as drained.
+		s.disownEngines(now, m.Box, m.lastSeen.Add(s.cfg.Term), previous)
 		return
 	}
 	for _, o := range s.owners {
 		if o.Owner == m.Box {
-			s.epoch++
-			o.Previous, o.Epoch = previous, s.epoch
+			s.highestEpoch++
+			o.Previous, o.Epoch = previous, s.highestEpoch
 			s.freedAt[o.Engine] = now
 		}
 	}
 }
 
-// forget takes the engines from a box; others may have them from until and the order gap on.
-func (s *State) forget(now time.Time, box string, until time.Time, previous string) {
+// disownEngines removes a box as the owner of its engines. Other boxes may own them once OrderGap has passed after until.
+func (s *State) disownEngines(now time.Time, box string, until time.Time, previous string) {
 	for _, o := range s.owners {
 		if o.Owner == box {
-			s.unown(now, o, previous)
-			s.hold(o.Engine, holder{box: box}, until)
+			s.clearOwner(now, o, previous)
+			s.reserve(o.Engine, reservation{box: box}, until)
 		}
 	}
 }
 
-// hold keeps an engine for the box that last owned it.
-func (s *State) hold(engine string, h holder, until time.Time) {
-	s.heldUntil[engine], s.heldFor[engine] = until.Add(s.cfg.OrderGap), h
+// reserve keeps an engine for the box that last owned it. The reservation ends OrderGap after until.
+func (s *State) reserve(engine string, r reservation, until time.Time) {
+	s.reservedUntil[engine], s.reservedFor[engine] = until.Add(s.cfg.OrderGap), r
 }
 
-func (s *State) unown(now time.Time, o *Ownership, previous string) {
+func (s *State) clearOwner(now time.Time, o *Ownership, previous string) {
 	o.Previous, o.Owner = previous, ""
 	s.freedAt[o.Engine] = now
 }
 
-// Leaving takes in which boxes the platform's box list says are leaving. The list lags: it is believed when it says leaving, never when it says live.
+// Leaving sets the boxes that the platform's box list marks as leaving. The list is delayed, so it is trusted only for boxes that it
+// marks as leaving, never for boxes that it marks as live.
 func (s *State) Leaving(boxes []string) {
-	s.leaving = slices.Clone(boxes)
-	slices.Sort(s.leaving)
+	s.listedLeaving = slices.Clone(boxes)
+	slices.Sort(s.listedLeaving)
 }
 
-// Tick drops silent members and assigns the cell's engines.
+// Tick removes members that have been silent for a whole term and assigns the cell's engines.
 func (s *State) Tick(now time.Time, engines []Engine) {
-	s.dropSilent(now)
-	s.now = now
-	s.zones = map[string]string{}
+	s.dropExpiredMembers(now)
+	s.lastTick = now
+	s.engineZones = map[string]string{}
 	for _, e := range engines {
-		s.zones[e.Name] = e.Zone
+		s.engineZones[e.Name] = e.Zone
 		if s.owners[e.Name] == nil {
 			s.owners[e.Name] = &Ownership{Engine: e.Name}
 			if s.cfg.Restored {
-				s.heldUntil[e.Name] = s.unclaimedUntil()
+				s.reservedUntil[e.Name] = s.unreportedGrantsEnd()
 			}
 		}
 	}
 	for _, o := range s.owners {
-		if _, declared := s.zones[o.Engine]; !declared {
-			s.undeclared(now, o)
+		if _, declared := s.engineZones[o.Engine]; !declared {
+			s.retireUndeclaredEngine(now, o)
 		}
 	}
 	for _, o := range s.owners {
-		s.settlePrevious(now, o)
-		s.handOver(now, o)
+		s.clearPreviousIfDrained(now, o)
+		s.applyRelease(now, o)
 	}
-	s.assign(now)
-	s.keep = s.share(len(s.live()))
+	s.assignEngines(now)
+	s.keepLimit = s.sharePerBox(len(s.findLiveBoxes()))
 }
 
-// undeclared takes an engine whose entry is missing from its owner. An entry may come back, as after an outage of the store, and the
-// owner's grants hold for up to a term: until then the engine is held for that box, here and in the map for the next coordinator.
-func (s *State) undeclared(now time.Time, o *Ownership) {
+// retireUndeclaredEngine removes the owner of an engine whose entry is missing, and later the engine itself. The entry may come back,
+// for example after an outage of the store, and the owner's grants are valid for up to a term. Until then the engine stays reserved for
+// that box, and stays in the map so that the next coordinator reserves it too.
+func (s *State) retireUndeclaredEngine(now time.Time, o *Ownership) {
 	if box := o.Owner; box != "" {
-		s.unown(now, o, box)
-		s.hold(o.Engine, holder{box: box}, now.Add(s.cfg.Term))
+		s.clearOwner(now, o, box)
+		s.reserve(o.Engine, reservation{box: box}, now.Add(s.cfg.Term))
 	}
-	if now.Before(s.heldUntil[o.Engine]) {
+	if now.Before(s.reservedUntil[o.Engine]) {
 		return
 	}
 	delete(s.owners, o.Engine)
 	delete(s.freedAt, o.Engine)
-	delete(s.heldUntil, o.Engine)
-	delete(s.heldFor, o.Engine)
+	delete(s.reservedUntil, o.Engine)
+	delete(s.reservedFor, o.Engine)
 }
 
-func (s *State) dropSilent(now time.Time) {
+func (s *State) dropExpiredMembers(now time.Time) {
 	for box, m := range s.members {
-		if now.Sub(m.seen) > s.cfg.Term {
-			s.forget(now, box, now, box)
+		if now.Sub(m.lastSeen) > s.cfg.Term {
+			s.disownEngines(now, box, now, box)
 			delete(s.members, box)
 		}
 	}
 }
 
-// settlePrevious clears the previous owner once nothing it sent can be in flight. That it lists the engine as owned still means
-// that it has not heard of its loss yet, and so has not said what it has in flight.
-func (s *State) settlePrevious(now time.Time, o *Ownership) {
+// clearPreviousIfDrained clears the previous owner once none of its requests can be in flight. While the previous owner still reports the
+// engine as owned, it has not been notified of the loss yet, so it has not reported its requests in flight either.
+func (s *State) clearPreviousIfDrained(now time.Time, o *Ownership) {
 	if o.Previous == "" {
 		return
 	}
 	m := s.members[o.Previous]
-	drained := m != nil && m.seen.After(s.freedAt[o.Engine]) && !slices.Contains(m.busy, o.Engine)
+	drained := m != nil && m.lastSeen.After(s.freedAt[o.Engine]) && !slices.Contains(m.busyEngines, o.Engine)
 	if drained || now.Sub(s.freedAt[o.Engine]) > s.cfg.Term+s.cfg.Drain {
 		o.Previous = ""
 		delete(s.freedAt, o.Engine)
 	}
 }
 
-// handOver takes an engine from an owner that has released it.
-func (s *State) handOver(now time.Time, o *Ownership) {
+// applyRelease removes the owner of an engine if the owner has released its current grant.
+func (s *State) applyRelease(now time.Time, o *Ownership) {
 	if m := s.members[o.Owner]; m != nil && slices.Contains(m.released, Release{o.Engine, o.Epoch}) {
-		s.hold(o.Engine, holder{o.Owner, m.Incarnation}, now)
-		s.unown(now, o, o.Owner)
+		s.reserve(o.Engine, reservation{o.Owner, m.Incarnation}, now)
+		s.clearOwner(now, o, o.Owner)
 	}
 }
 
-// Published says that mp is stored; from now on its owners may be told.
-func (s *State) Published(now time.Time, mp Map) {
+// Published records that m is stored. From now on Reply may grant the engines of m to their owners.
+func (s *State) Published(now time.Time, m Map) {
 	if !s.hasPublished {
-		s.toldAt = now
+		s.firstPublishedAt = now
 	}
-	s.published, s.hasPublished = mp, true
-	s.grantsOf = map[string][]Ownership{}
-	for _, o := range mp.Owners {
-		s.grantsOf[o.Owner] = append(s.grantsOf[o.Owner], o)
+	s.published, s.hasPublished = m, true
+	s.grantsByBox = map[string][]Ownership{}
+	for _, o := range m.Owners {
+		s.grantsByBox[o.Owner] = append(s.grantsByBox[o.Owner], o)
 	}
 }
 
-// Reply returns the answer to the last beat of box. It grants only what is published and still meant.
+// Reply returns the response to the last heartbeat of a box. It contains only grants that are published and have not changed since.
 func (s *State) Reply(now time.Time, box string) Reply {
 	r := Reply{Lease: s.cfg.Lease, Term: s.cfg.Term, Frozen: !s.hasPublished}
 	m := s.members[box]
 	if m == nil {
 		return r
 	}
-	for _, o := range s.grantsOf[box] {
-		if meant := s.owners[o.Engine]; meant != nil && meant.Owner == box && meant.Epoch == o.Epoch {
-			r.Grants = append(r.Grants, *meant)
+	for _, o := range s.grantsByBox[box] {
+		if current := s.owners[o.Engine]; current != nil && current.Owner == box && current.Epoch == o.Epoch {
+			r.Grants = append(r.Grants, *current)
 		}
 	}
-	r.Release = s.release(now, m, r.Grants)
-	r.Frozen = r.Frozen || s.awaitsPublishing(m, r.Grants)
+	r.Release = s.enginesToRelease(now, m, r.Grants)
+	r.Frozen = r.Frozen || s.hasUnpublishedClaim(m, r.Grants)
 	return r
 }
 
-// awaitsPublishing reports whether a box owns an engine by its own word that the published map does not give it yet: a reply would take it away.
-func (s *State) awaitsPublishing(m *member, grants []Ownership) bool {
+// hasUnpublishedClaim reports whether a box owns an engine that it claimed and that the published map does not contain as its own yet.
+// A reply with the published grants would take that engine away.
+func (s *State) hasUnpublishedClaim(m *member, grants []Ownership) bool {
 	if !s.cfg.Restored {
 		return false
 	}
 	return slices.ContainsFunc(m.owned, func(o Ownership) bool {
-		meant := s.owners[o.Engine]
-		return meant != nil && meant.Owner == m.Box && meant.Epoch == o.Epoch && !slices.ContainsFunc(grants, func(g Ownership) bool { return g.Engine == o.Engine })
+		current := s.owners[o.Engine]
+		return current != nil && current.Owner == m.Box && current.Epoch == o.Epoch &&
+			!slices.ContainsFunc(grants, func(g Ownership) bool { return g.Engine == o.Engine })
 	})
 }
 
-// Map returns the map to publish, in a fixed order.
+// Map returns the map to publish, with sorted lists.
 func (s *State) Map() Map {
-	mp := Map{Cell: s.cfg.Cell, Region: s.cfg.Region, Coordinator: s.cfg.Box, Lease: s.cfg.Lease, Epoch: s.epoch, Leaving: s.leaving}
+	cellMap := Map{
+		Cell: s.cfg.Cell, Region: s.cfg.Region, Coordinator: s.cfg.Box, Lease: s.cfg.Lease, Epoch: s.highestEpoch, Leaving: s.listedLeaving,
+	}
 	for _, m := range s.members {
-		shown := m.Member
-		shown.Leaving = shown.Leaving || slices.Contains(s.leaving, m.Box)
-		shown.Silent = s.silent(s.now, m)
-		mp.Members = append(mp.Members, shown)
+		entry := m.Member
+		entry.Leaving = entry.Leaving || slices.Contains(s.listedLeaving, m.Box)
+		entry.Silent = s.isSilent(s.lastTick, m)
+		cellMap.Members = append(cellMap.Members, entry)
 	}
-	slices.SortFunc(mp.Members, func(a, b Member) int { return cmp.Compare(a.Box, b.Box) })
-	for _, name := range s.engineNames() {
-		mp.Owners = append(mp.Owners, *s.owners[name])
+	slices.SortFunc(cellMap.Members, func(a, b Member) int { return cmp.Compare(a.Box, b.Box) })
+	for _, name := range s.sortedEngineNames() {
+		cellMap.Owners = append(cellMap.Owners, *s.owners[name])
 	}
-	return mp
+	return cellMap
 }
--- a/internal/coordinator/state_test.go
+++ b/internal/coordinator/state_test.go
@@ -10,40 +10,40 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// TestZones assigns engines of three zones, the last of which has no box.
-func TestZones(t *testing.T) {
+// TestAssignmentPrefersEngineZone assigns the engines of three zones to boxes in the first two zones.
+func TestAssignmentPrefersEngineZone(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := coordinator.New(coordinator.Config{Cell: "c", Term: 4 * time.Second, Started: now.Add(-time.Minute)}, coordinator.Map{})
 	zoneOf := map[string]string{}
-	beat := func(box string) {
+	sendBeat := func(box string) {
 		_ = s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: box, Zone: zoneOf[box], Incarnation: box}})
 	}
 	for i, zone := range []string{"a", "a", "b", "b"} {
 		box := fmt.Sprintf("box-%d", i)
 		zoneOf[box] = zone
-		beat(box)
+		sendBeat(box)
 	}
 	var engines []coordinator.Engine
 	for i := range 12 {
 		engines = append(engines, coordinator.Engine{Name: fmt.Sprintf("engine-%02d", i), Zone: []string{"a", "b", "c"}[i%3]})
 	}
 	s.Tick(now, engines)
-	near := 0
+	inZone := 0
 	for _, o := range s.Map().Owners {
 		c.Check(o.Owner, qt.Not(qt.Equals), "", qt.Commentf("%s", o.Engine))
 		for _, e := range engines {
 			if e.Name == o.Engine && zoneOf[o.Owner] == e.Zone {
-				near++
+				inZone++
 			}
 		}
 	}
-	c.Check(near >= 6, qt.IsTrue, qt.Commentf("%d of 8 engines have an owner in their zone", near))
-	// The boxes of zone a fall silent: its engines pass to zone b.
+	c.Check(inZone >= 6, qt.IsTrue, qt.Commentf("%d of 8 engines have an owner in their zone", inZone))
+	// The boxes of zone a become silent, so its engines are assigned to zone b.
 	for range 6 {
 		now = now.Add(time.Second)
-		beat("box-2")
-		beat("box-3")
+		sendBeat("box-2")
+		sendBeat("box-3")
 		s.Tick(now, engines)
 	}
 	for _, o := range s.Map().Owners {
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestReleaseNamesItsGrant takes a release of an older grant in after the engine was granted again.
-func TestReleaseNamesItsGrant(t *testing.T) {
+// TestReleaseOfOlderGrantIsIgnored repeats the release of an older grant after the engine was granted again.
+func TestReleaseOfOlderGrantIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := coordinator.New(coordinator.Config{Cell: "c", Term: 4 * time.Second, Started: now.Add(-time.Minute)}, coordinator.Map{})
@@ -64,86 +64,88 @@
 	beat.Released = []coordinator.Release{{Engine: "engine-1", Epoch: granted.Epoch}}
 	_ = s.Beat(now, beat)
 	s.Tick(now, engines)
-	again := s.Map().Owners[0]
-	c.Assert(again.Epoch, qt.Equals, granted.Epoch+1)
+	regranted := s.Map().Owners[0]
+	c.Assert(regranted.Epoch, qt.Equals, granted.Epoch+1)
 	_ = s.Beat(now, beat)
 	s.Tick(now, engines)
-	c.Check(s.Map().Owners[0], qt.Equals, again)
+	c.Check(s.Map().Owners[0], qt.Equals, regranted)
 }
 
-// TestPreviousOwnerIsSettledOnlyByWord hands an engine over while its old owner has requests in flight.
-func TestPreviousOwnerIsSettledOnlyByWord(t *testing.T) {
+// TestPreviousOwnerIsClearedAfterDraining checks that an engine that changes its owner keeps the previous owner in the map until that box
+// reports that it has no more requests in flight on the engine.
+func TestPreviousOwnerIsClearedAfterDraining(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := coordinator.New(coordinator.Config{Cell: "c", Term: 4 * time.Second, Drain: time.Hour, Started: now.Add(-time.Minute)}, coordinator.Map{})
 	engines := []coordinator.Engine{{Name: "engine-1", Zone: "a"}}
-	old := coordinator.Beat{Member: coordinator.Member{Box: "box-1", Incarnation: "i"}}
-	_ = s.Beat(now, old)
+	oldOwner := coordinator.Beat{Member: coordinator.Member{Box: "box-1", Incarnation: "i"}}
+	_ = s.Beat(now, oldOwner)
 	s.Tick(now, engines)
 	granted := s.Map().Owners[0]
 	_ = s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-2", Incarnation: "j"}})
-	old.Member.Leaving = true
-	old.Owned = []coordinator.Ownership{granted}
-	old.Released = []coordinator.Release{{Engine: "engine-1", Epoch: granted.Epoch}}
+	oldOwner.Member.Leaving = true
+	oldOwner.Owned = []coordinator.Ownership{granted}
+	oldOwner.Released = []coordinator.Release{{Engine: "engine-1", Epoch: granted.Epoch}}
 	for _, step := range []struct {
 		name     string
 		owned    []coordinator.Ownership
 		draining []string
 		previous string
 	}{
-		{"has offered it", old.Owned, nil, "box-1"},
-		{"has not heard yet", old.Owned, nil, "box-1"},
+		{"has released the engine", oldOwner.Owned, nil, "box-1"},
+		{"has not received the reply yet", oldOwner.Owned, nil, "box-1"},
 		{"has requests in flight", nil, []string{"engine-1"}, "box-1"},
-		{"is done", nil, nil, ""},
+		{"has no more requests in flight", nil, nil, ""},
 	} {
 		now = now.Add(time.Second)
-		old.Owned, old.Draining = step.owned, step.draining
-		_ = s.Beat(now, old)
+		oldOwner.Owned, oldOwner.Draining = step.owned, step.draining
+		_ = s.Beat(now, oldOwner)
 		s.Tick(now, engines)
 		c.Check(s.Map().Owners[0].Owner, qt.Equals, "box-2", qt.Commentf(step.name))
 		c.Check(s.Map().Owners[0].Previous, qt.Equals, step.previous, qt.Commentf(step.name))
 	}
 }
 
-// TestReleasedEngineGoesToAnotherBox: a box that gives an engine up because others have joined does not get it back, neither at
-// once nor after the order gap, while its next process may have it back at once.
-func TestReleasedEngineGoesToAnotherBox(t *testing.T) {
+// TestReleasedEngineIsNotReturnedToSameProcess checks that a process that releases an engine, because other boxes have joined, does not
+// get the engine back during the order gap. After the gap the engine is free for any box. A new process of the box gets it back at
+// once.
+func TestReleasedEngineIsNotReturnedToSameProcess(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// incarnation is that of the box after its release, wait how long after the release the ownership is looked at.
+		// incarnation identifies the process of the box after the release. wait is the time from the release to the check of the owner.
 		incarnation string
 		wait        time.Duration
 		owner       string
 	}{
-		{"the same process, within the gap", "i", beat, ""},
-		{"the same process, after the gap", "i", gap + beat, "box-2"},
-		{"the next process", "k", beat, "box-1"},
+		{"the same process, within the gap", "i", beatInterval, ""},
+		{"the same process, after the gap", "i", orderGap + beatInterval, "box-2"},
+		{"the next process", "k", beatInterval, "box-1"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(coordinator.Config{OrderGap: gap, Reclaim: true, SilentAfter: 3 * beat})
-			w.beat("box-1", "i")
-			w.tick(0)
-			c.Assert(w.owner(), qt.Equals, "box-1")
-			_ = w.state.Beat(w.now, coordinator.Beat{
+			sim := newSimulation(coordinator.Config{OrderGap: orderGap, Reclaim: true, SilentAfter: 3 * beatInterval})
+			sim.sendBeat("box-1", "i")
+			sim.tickAfter(0)
+			c.Assert(sim.owner(), qt.Equals, "box-1")
+			_ = sim.state.Beat(sim.now, coordinator.Beat{
 				Member:   coordinator.Member{Box: "box-1", Zone: "z", Incarnation: "i", Leaving: tt.incarnation != "i"},
-				Released: []coordinator.Release{{Engine: engineName, Epoch: w.epoch()}},
+				Released: []coordinator.Release{{Engine: engineName, Epoch: sim.epoch()}},
 			})
-			w.tick(0)
-			c.Assert(w.owner(), qt.Equals, "")
-			for waited := time.Duration(0); waited < tt.wait; waited += beat {
-				w.beat("box-1", tt.incarnation)
+			sim.tickAfter(0)
+			c.Assert(sim.owner(), qt.Equals, "")
+			for waited := time.Duration(0); waited < tt.wait; waited += beatInterval {
+				sim.sendBeat("box-1", tt.incarnation)
 				if tt.owner == "box-2" {
-					w.beat("box-2", "j")
+					sim.sendBeat("box-2", "j")
 				}
-				w.tick(beat)
+				sim.tickAfter(beatInterval)
 			}
 			if tt.owner == "box-2" {
-				// Either box may have it now; what counts is that it was free in between.
-				c.Check(w.owner(), qt.Not(qt.Equals), "")
+				// Either box may own the engine now, as it had no owner during the order gap.
+				c.Check(sim.owner(), qt.Not(qt.Equals), "")
 				return
 			}
-			c.Check(w.owner(), qt.Equals, tt.owner)
+			c.Check(sim.owner(), qt.Equals, tt.owner)
 		})
 	}
 }
--- a/internal/coordinator/undeclared_test.go
+++ b/internal/coordinator/undeclared_test.go
@@ -9,72 +9,73 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// TestEngineThatComesBackIsStillHeld: an engine whose entry is missing for a moment, as after an outage of the store, may still be ordered
-// about by its owner, which has a term. No other box may have it before, also if the coordinator changes meanwhile and never knew the
-// entry. The cause of what it shows: all that was known of an engine was dropped as soon as its entry was missing once.
-func TestEngineThatComesBackIsStillHeld(t *testing.T) {
+// TestUndeclaredEngineStaysReserved guards against assigning an engine to another box after its entry was missing for a moment, for
+// example after an outage of the store. The owner may send orders to the engine until its term ends, so no other box may own the engine
+// before that. This also holds if the coordinator changes meanwhile and the new one has never seen the entry. The fault was that the
+// state of an engine was deleted as soon as its entry was missing once.
+func TestUndeclaredEngineStaysReserved(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
 		takeover bool
-		// heard says that the owner is heard on.
-		heard bool
+		// ownerSendsBeats means that the owner continues to send heartbeats.
+		ownerSendsBeats bool
 	}{
 		{"the owner is silent", false, false},
 		{"the owner is silent and the coordinator changes", true, false},
-		{"the owner is there and has it back", false, true},
+		{"the owner sends heartbeats and gets the engine back", false, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(coordinator.Config{OrderGap: gap, Reclaim: true, SilentAfter: 3 * beat})
-			w.beat("owner", "i")
-			w.tick(0)
-			c.Assert(w.owner(), qt.Equals, "owner")
-			granted, last := w.epoch(), w.now
-			step := func(engines ...coordinator.Engine) {
-				w.now = w.now.Add(beat)
-				w.beat("other", "j")
-				if tt.heard {
-					w.beat("owner", "i")
+			sim := newSimulation(coordinator.Config{OrderGap: orderGap, Reclaim: true, SilentAfter: 3 * beatInterval})
+			sim.sendBeat("owner", "i")
+			sim.tickAfter(0)
+			c.Assert(sim.owner(), qt.Equals, "owner")
+			grantedEpoch, grantedAt := sim.epoch(), sim.now
+			runStep := func(engines ...coordinator.Engine) {
+				sim.now = sim.now.Add(beatInterval)
+				sim.sendBeat("other", "j")
+				if tt.ownerSendsBeats {
+					sim.sendBeat("owner", "i")
 				}
-				w.state.Tick(w.now, engines)
+				sim.state.Tick(sim.now, engines)
 			}
 			for range 4 {
-				step(coordinator.Engine{Name: engineName, Zone: "z"})
+				runStep(coordinator.Engine{Name: engineName, Zone: "z"})
 			}
-			step()
+			runStep()
 			if tt.takeover {
-				w.takeOver(0)
-				step()
+				sim.takeOver(0)
+				runStep()
 			}
-			for w.now.Sub(last) < term {
-				step(coordinator.Engine{Name: engineName, Zone: "z"})
-				c.Assert(w.owner(), qt.Not(qt.Equals), "other", qt.Commentf("%s after the owner was last heard", w.now.Sub(last)))
+			for sim.now.Sub(grantedAt) < term {
+				runStep(coordinator.Engine{Name: engineName, Zone: "z"})
+				c.Assert(sim.owner(), qt.Not(qt.Equals), "other", qt.Commentf("%s after the engine was granted", sim.now.Sub(grantedAt)))
 			}
-			if tt.heard {
-				c.Check(w.owner(), qt.Equals, "owner")
-				c.Check(w.epoch() > granted, qt.IsTrue)
+			if tt.ownerSendsBeats {
+				c.Check(sim.owner(), qt.Equals, "owner")
+				c.Check(sim.epoch() > grantedEpoch, qt.IsTrue)
 			}
 		})
 	}
 }
 
-// TestEpochsGrowForGood: the epoch of an engine that is gone for good is not given out again by the next coordinator, as an engine of the
-// same name may come back.
-func TestEpochsGrowForGood(t *testing.T) {
+// TestEpochsIncreaseAfterEngineRemoval checks that the next coordinator does not reuse the epoch of an engine that was removed, as an
+// engine of the same name may come back.
+func TestEpochsIncreaseAfterEngineRemoval(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(coordinator.Config{OrderGap: gap, Reclaim: true, SilentAfter: 3 * beat})
-	w.beat("owner", "i")
-	w.tick(0)
-	granted := w.epoch()
-	c.Assert(granted > 0, qt.IsTrue)
-	for waited := time.Duration(0); waited < 3*term; waited += beat {
-		w.now = w.now.Add(beat)
-		w.beat("owner", "i")
-		w.state.Tick(w.now, nil)
+	sim := newSimulation(coordinator.Config{OrderGap: orderGap, Reclaim: true, SilentAfter: 3 * beatInterval})
+	sim.sendBeat("owner", "i")
+	sim.tickAfter(0)
+	grantedEpoch := sim.epoch()
+	c.Assert(grantedEpoch > 0, qt.IsTrue)
+	for waited := time.Duration(0); waited < 3*term; waited += beatInterval {
+		sim.now = sim.now.Add(beatInterval)
+		sim.sendBeat("owner", "i")
+		sim.state.Tick(sim.now, nil)
 	}
-	c.Assert(w.ownership().Engine, qt.Equals, "", qt.Commentf("the engine is forgotten in the end"))
-	w.takeOver(beat)
-	w.beat("owner", "i")
-	w.tick(0)
-	c.Check(w.epoch() > granted, qt.IsTrue, qt.Commentf("%d after %d", w.epoch(), granted))
+	c.Assert(sim.ownership().Engine, qt.Equals, "", qt.Commentf("the engine was not removed from the map"))
+	sim.takeOver(beatInterval)
+	sim.sendBeat("owner", "i")
+	sim.tickAfter(0)
+	c.Check(sim.epoch() > grantedEpoch, qt.IsTrue, qt.Commentf("epoch %d after %d", sim.epoch(), grantedEpoch))
 }
