--- a/internal/aggregator/aggregator_test.go
+++ b/internal/aggregator/aggregator_test.go
@@ -12,7 +12,7 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-func cellOf(boxes, zones int) coordinator.Map {
+func newCellMap(boxes, zones int) coordinator.Map {
 	m := coordinator.Map{Cell: "default", Coordinator: "box-000"}
 	for i := range boxes {
 		m.Members = append(m.Members, coordinator.Member{Box: fmt.Sprintf("box-%03d", i), Zone: fmt.Sprint("zone-", i%zones)})
@@ -20,10 +20,11 @@
 	return m
 }
 
-// TestChoose counts, for cells from 6 to 415 boxes, what the coordinator hears and what the fullest aggregator does. The grounds for the bounds
-// are the square root of the boxes, and that sharing out by the less loaded of two leaves the fullest a few above the mean.
-func TestChoose(t *testing.T) {
-	for _, test := range []struct{ boxes, zones, direct, aggregators, fullest int }{
+// TestChooseBalancesLoad counts, for cells of 6 to 415 boxes, how many boxes report to the coordinator directly and how many boxes the
+// most loaded aggregator has. The bounds follow from the square root of the number of boxes, and from the choice of the less loaded of
+// two aggregators, which keeps the highest load a few boxes above the mean.
+func TestChooseBalancesLoad(t *testing.T) {
+	for _, test := range []struct{ boxes, zones, direct, aggregators, maxLoad int }{
 		{6, 4, 6, 0, 0},
 		{16, 5, 16, 0, 0},
 		{30, 5, 1, 5, 6},
@@ -34,7 +35,7 @@
 	} {
 		t.Run(fmt.Sprint(test.boxes), func(t *testing.T) {
 			c := qt.New(t)
-			m := cellOf(test.boxes, test.zones)
+			m := newCellMap(test.boxes, test.zones)
 			direct, load := 0, map[string]int{}
 			for _, b := range m.Members {
 				chosen := aggregator.Choose(m, b.Box, b.Zone)
@@ -45,22 +46,22 @@
 				c.Check(chosen[0].Zone, qt.Equals, b.Zone)
 				load[chosen[0].Box]++
 			}
-			fullest := 0
+			highestLoad := 0
 			for _, n := range load {
-				fullest = max(fullest, n)
+				highestLoad = max(highestLoad, n)
 			}
 			c.Check(direct, qt.Equals, test.direct)
 			c.Check(len(load), qt.Equals, test.aggregators)
-			c.Check(fullest <= test.fullest, qt.IsTrue, qt.Commentf("the fullest has %d", fullest))
+			c.Check(highestLoad <= test.maxLoad, qt.IsTrue, qt.Commentf("the most loaded aggregator has %d boxes", highestLoad))
 		})
 	}
 }
 
-// TestChooseNobodyWhoMayNot draws cells: nobody uses the coordinator, or a box that is leaving, silent or in another zone, and an aggregator
-// uses itself.
-func TestChooseNobodyWhoMayNot(t *testing.T) {
+// TestChooseReturnsOnlyEligibleBoxes checks on random cells that no box uses the coordinator or a box that is leaving, silent or in
+// another zone as its aggregator, and that an aggregator uses only itself.
+func TestChooseReturnsOnlyEligibleBoxes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := cellOf(rapid.IntRange(1, 60).Draw(t, "boxes"), rapid.IntRange(1, 5).Draw(t, "zones"))
+		m := newCellMap(rapid.IntRange(1, 60).Draw(t, "boxes"), rapid.IntRange(1, 5).Draw(t, "zones"))
 		for i := range m.Members {
 			m.Members[i].Leaving, m.Members[i].Silent = rapid.Bool().Draw(t, "leaving"), rapid.Bool().Draw(t, "silent")
 		}
@@ -77,34 +78,36 @@
 	})
 }
 
-// TestCollector takes batches on time, late, and after the process was found to have stood still.
+// TestCollector checks that a batch is fresh if it is taken on time or a little late, and not fresh if it is taken much too late or
+// shortly after the process was suspended.
 func TestCollector(t *testing.T) {
-	const window, stall = 200 * time.Millisecond, 400 * time.Millisecond
+	const window, stallAfter = 200 * time.Millisecond, 400 * time.Millisecond
 	for _, test := range []struct {
 		name string
-		// stalled is when, before the batch is taken, the process was found to have stood still; zero if it was not.
-		stalled, taken time.Duration
-		fresh          bool
+		// stalledBefore is the time from the detection of a suspension to the taking of the batch. It is zero without a suspension.
+		// takenAfter is the time from the first entry to the taking of the batch.
+		stalledBefore, takenAfter time.Duration
+		fresh                     bool
 	}{
-		{name: "on time", taken: window, fresh: true},
-		{name: "a little late", taken: window + 100*time.Millisecond, fresh: true},
-		{name: "after the process stood still with it", taken: 3 * time.Second},
-		{name: "read right after the process stood still", stalled: window, taken: window},
-		{name: "long after the process stood still", stalled: time.Second, taken: window, fresh: true},
+		{name: "on time", takenAfter: window, fresh: true},
+		{name: "a little late", takenAfter: window + 100*time.Millisecond, fresh: true},
+		{name: "much too late, after an undetected suspension", takenAfter: 3 * time.Second},
+		{name: "right after a suspension", stalledBefore: window, takenAfter: window},
+		{name: "long after a suspension", stalledBefore: time.Second, takenAfter: window, fresh: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			now := time.Now()
-			col := aggregator.NewCollector[int](aggregator.CollectorConfig{Window: window, StallAfter: stall})
-			c.Check(col.Add(now, 1), qt.IsTrue)
-			c.Check(col.Add(now.Add(window/2), 2), qt.IsFalse)
-			if test.stalled > 0 {
-				col.Stalled(now.Add(test.taken - test.stalled))
+			collector := aggregator.NewCollector[int](aggregator.CollectorConfig{Window: window, StallAfter: stallAfter})
+			c.Check(collector.Add(now, 1), qt.IsTrue)
+			c.Check(collector.Add(now.Add(window/2), 2), qt.IsFalse)
+			if test.stalledBefore > 0 {
+				collector.Stalled(now.Add(test.takenAfter - test.stalledBefore))
 			}
-			batch, fresh := col.Take(now.Add(test.taken))
+			batch, fresh := collector.Take(now.Add(test.takenAfter))
 			c.Check(batch, qt.DeepEquals, []int{1, 2})
 			c.Check(fresh, qt.Equals, test.fresh)
-			c.Check(col.Add(now.Add(test.taken), 3), qt.IsTrue)
+			c.Check(collector.Add(now.Add(test.takenAfter), 3), qt.IsTrue)
 		})
 	}
 }
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// TestCoordinatorWithExpiredLeaseIsHidden checks that a coordinator whose lease expired is hidden from callers, as it has been silent
-// for that long. It is hidden from the first map of its successor until it sends a heartbeat.
+// TestCoordinatorWithExpiredLeaseIsHidden checks that a coordinator whose lease expired is hidden from callers, as it was silent for
+// the duration of the lease. It is hidden from the first map of its successor until it sends a heartbeat.
 func TestCoordinatorWithExpiredLeaseIsHidden(t *testing.T) {
 	c := qt.New(t)
 	sim := newSimulation(coordinator.Config{OrderGap: orderGap, Reclaim: true, SilentAfter: 3 * beatInterval})
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -1,4 +1,4 @@
-// Package gather sends small messages for the same receiver together.
+// Package gather batches small messages to the same receiver.
 package gather
 
 import (
@@ -12,57 +12,57 @@
 
 // Config configures a Gatherer.
 type Config[K comparable, T any] struct {
-	// Ring bounds what waits to be sent.
+	// Ring is the maximum number of queued messages.
 	Ring int
-	// Every is how long a message waits for others.
+	// Every is how long the first message of a batch waits for more messages.
 	Every time.Duration
-	// Send sends what has been gathered for one receiver.
-	Send func(ctx context.Context, to K, all []T)
-	// Dropped is called for each message that found the ring full.
+	// Send sends the gathered messages of one receiver.
+	Send func(ctx context.Context, receiver K, messages []T)
+	// Dropped is called for each message that is dropped because the queue is full.
 	Dropped func()
 }
 
 // item is a message with its receiver.
 type item[K comparable, T any] struct {
-	to      K
-	message T
+	receiver K
+	message  T
 }
 
-// Gatherer gathers messages. Its Serve has to run.
+// Gatherer queues messages and sends them in batches, one batch per receiver. Messages are sent only while Serve runs.
 type Gatherer[K comparable, T any] struct {
-	cfg  Config[K, T]
-	ring chan item[K, T]
-	done chan struct{}
+	cfg   Config[K, T]
+	queue chan item[K, T]
+	done  chan struct{}
 }
 
 // New returns a Gatherer.
 func New[K comparable, T any](cfg Config[K, T]) *Gatherer[K, T] {
-	return &Gatherer[K, T]{cfg: cfg, ring: make(chan item[K, T], cfg.Ring), done: make(chan struct{})}
+	return &Gatherer[K, T]{cfg: cfg, queue: make(chan item[K, T], cfg.Ring), done: make(chan struct{})}
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended because its context was canceled.
 func (g *Gatherer[K, T]) Done() <-chan struct{} { return g.done }
 
-// Add queues a message. It never waits.
-func (g *Gatherer[K, T]) Add(to K, message T) {
+// Add queues a message. It does not block: if the queue is full, the message is dropped.
+func (g *Gatherer[K, T]) Add(receiver K, message T) {
 	select {
-	case g.ring <- item[K, T]{to, message}:
+	case g.queue <- item[K, T]{receiver, message}:
 	default:
 		g.cfg.Dropped()
 	}
 }
 
-// Serve sends until ctx ends.
+// Serve sends queued messages until ctx is canceled.
 func (g *Gatherer[K, T]) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, g.done)
 	var calls errgroup.Group
-	// Calls return no errors.
+	// The calls return no errors, so Wait returns none.
 	defer func() { _ = calls.Wait() }()
 	for {
 		select {
-		case first := <-g.ring:
-			for to, all := range g.gather(ctx, first) {
-				calls.Go(func() error { g.cfg.Send(ctx, to, all); return nil })
+		case first := <-g.queue:
+			for receiver, messages := range g.collectByReceiver(ctx, first) {
+				calls.Go(func() error { g.cfg.Send(ctx, receiver, messages); return nil })
 			}
 		case <-ctx.Done():
 			return ctx.Err()
@@ -70,19 +70,19 @@
 	}
 }
 
-// gather waits a little for more and sorts what came by receiver.
-func (g *Gatherer[K, T]) gather(ctx context.Context, first item[K, T]) map[K][]T {
-	all := map[K][]T{first.to: {first.message}}
+// collectByReceiver waits for more messages during Config.Every and groups them with the first message by receiver.
+func (g *Gatherer[K, T]) collectByReceiver(ctx context.Context, first item[K, T]) map[K][]T {
+	byReceiver := map[K][]T{first.receiver: {first.message}}
 	timer := time.NewTimer(g.cfg.Every)
 	defer timer.Stop()
 	for {
 		select {
-		case it := <-g.ring:
-			all[it.to] = append(all[it.to], it.message)
+		case it := <-g.queue:
+			byReceiver[it.receiver] = append(byReceiver[it.receiver], it.message)
 		case <-timer.C:
-			return all
+			return byReceiver
 		case <-ctx.Done():
-			return all
+			return byReceiver
 		}
 	}
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,4 +1,4 @@
-// Package lease holds a lease as one object of the platform, taken and renewed by conditional updates alone.
+// Package lease implements a lease that is stored as one object of the platform. It is acquired and renewed only by conditional writes.
 package lease
 
 import (
@@ -19,23 +19,24 @@
 
 // Record is the value of a lease object.
 type Record struct {
-	// Holder names the box that holds the lease; empty means it was given up.
+	// Holder names the box that holds the lease. It is empty if the lease was released.
 	Holder string `json:"holder"`
 	// Address is the holder's peer address.
 	Address string `json:"address"`
-	// Epoch grows with each change of holder. Its high bits are the store's era, so that none is given out again after the store has lost the last ones.
+	// Epoch increases with each change of holder. Its high bits are the store's era, so that no epoch is used again after the store has
+	// lost the latest epochs.
 	Epoch uint64 `json:"epoch"`
-	// Token tells one write from another, to settle a lost answer.
+	// Token identifies the write. If the answer to a write is lost, reading the token back shows whether the write took effect.
 	Token string `json:"token"`
 }
 
-// epochShift is where the era begins in an epoch.
+// epochShift is the position of the era's lowest bit in an epoch.
 const epochShift = 32
 
-// FirstEpoch returns the number below the first epoch of an era.
+// FirstEpoch returns the lower bound of the epochs of an era. The first epoch that is used is one above it.
 func FirstEpoch(era int64) uint64 { return uint64(era) << epochShift }
 
-// EraOf returns the era of the store in which an epoch was taken.
+// EraOf returns the era of the store in which an epoch was assigned.
 func EraOf(epoch uint64) int64 { return int64(epoch >> epochShift) }
 
 // Config configures a Lease.
@@ -46,50 +47,53 @@
 	// Holder and Address describe this box.
 	Holder  string
 	Address string
-	// TTL is how long the lease is valid after a renewal was sent, and how long it must be seen unchanged before another box takes it.
+	// TTL is how long the lease is valid after a renewal was sent. It is also how long the lease must be seen unchanged before another box
+	// may acquire it.
 	TTL time.Duration
-	// Reclaim lets a box take the lease of its own former process at once.
+	// Reclaim lets a box acquire, without waiting, a lease that its last process held.
 	Reclaim bool
-	// NewToken returns a token that no other write carries.
+	// NewToken returns a unique token for each write.
 	NewToken func() string
 }
 
-// Lease is one box's view of a lease. One goroutine uses it.
+// Lease is one box's view of a lease. It is for use by a single goroutine.
 type Lease struct {
 	cfg     Config
 	record  Record
 	version objects.Position
-	// changedAt is when the present version was first seen.
+	// changedAt is when the current version was first seen, or last confirmed by the holder.
 	changedAt time.Time
-	// token is that of our own last write that took effect.
-	token string
-	// unsettled holds the tokens of the last own writes of which it is not known whether they took effect. Reading one of them back shows
-	// that it did; without that a holder whose store was slow would take its own write for another box's, and give up what it holds.
-	unsettled []string
-	// validUntil is when our own tenure ends unless renewed; zero when not held.
+	// lastToken is the token of this box's last write that is known to have taken effect.
+	lastToken string
+	// unconfirmedTokens holds the tokens of this box's latest writes whose outcome is unknown. Reading one of these tokens back shows that
+	// the write took effect. Without them, a holder with a slow store would mistake its own write for that of another box and give up the
+	// lease.
+	unconfirmedTokens []string
+	// validUntil is when this box's tenure ends unless it is renewed. It is zero before the lease is acquired and after it is lost or released.
 	validUntil time.Time
 }
 
-// New returns a Lease that has not been read yet.
+// New returns a Lease whose object has not been read yet.
 func New(cfg Config) *Lease { return &Lease{cfg: cfg} }
 
-// maxUnsettled bounds the writes that may still take effect late: at two or three tries a second, those of the last five seconds and more.
-const maxUnsettled = 16
+// maxUnconfirmedTokens limits how many unconfirmed writes are remembered, as they may take effect late. At two or three attempts per
+// second it covers more than the last five seconds.
+const maxUnconfirmedTokens = 16
 
-// Record returns the last state read or written.
+// Record returns the record as last read, written or reported by another box.
 func (l *Lease) Record() Record { return l.record }
 
 // Held reports whether this box holds the lease at now.
 func (l *Lease) Held(now time.Time) bool { return now.Before(l.validUntil) }
 
-// ValidUntil returns when the tenure of this box ends unless it is renewed.
+// ValidUntil returns when this box's tenure ends unless it is renewed.
 func (l *Lease) ValidUntil() time.Time { return l.validUntil }
 
-// Refresh reads the lease.
+// Refresh reads the lease from the store.
 func (l *Lease) Refresh(ctx context.Context) error {
 	o, err := l.cfg.API.Get(ctx, Kind, l.cfg.Name)
 	if errors.Is(err, objects.ErrNotFound) {
-		l.saw(o, Record{})
+		l.setRecord(o, Record{})
 		return nil
 	}
 	if err != nil {
@@ -97,55 +101,60 @@
 	}
 	var r Record
 	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return eris.Wrapf(err, "lease: %s", l.cfg.Name)
+		return eris.Wrapf(err, "lease: decode %s", l.cfg.Name)
 	}
-	l.saw(o, r)
+	l.setRecord(o, r)
 	return nil
 }
 
-func (l *Lease) saw(o objects.Object, r Record) {
+func (l *Lease) setRecord(o objects.Object, r Record) {
 	if o.Version != l.version || l.changedAt.IsZero() {
 		l.changedAt = clock.Now()
 	}
 	l.version, l.record = o.Version, r
-	if slices.Contains(l.unsettled, r.Token) {
-		l.token = r.Token
+	if slices.Contains(l.unconfirmedTokens, r.Token) {
+		l.lastToken = r.Token
 	}
 }
 
-// Version returns the version of the lease object as last read or written.
+// Version returns the last known version of the lease object.
 func (l *Lease) Version() objects.Position { return l.version }
 
-// Observe notes at now that the holder of an epoch itself named version as the newest. That is as good as having read the lease, as long
-// as it is the holder of the record; without it the wait for a free lease would only begin at the first heartbeat that is not answered.
+// Observe records that at now the holder with the given epoch reported version as the newest version. If the epoch is that of the known
+// record, this is equivalent to reading the lease. Without it, the wait until the lease is free would begin only at the first unanswered
+// heartbeat.
 func (l *Lease) Observe(now time.Time, epoch uint64, version objects.Position) {
 	if epoch == l.record.Epoch && version >= l.version {
 		l.version, l.changedAt = version, now
 	}
 }
 
-// Told takes in what another box has read of the lease. What is not newer changes nothing, nor does a holder before the one known here.
+// Told records the state of the lease that another box has read. It is ignored if its version is not newer, or if its epoch is lower than
+// the known epoch.
 func (l *Lease) Told(r Record, version objects.Position) {
 	if version > l.version && r.Epoch >= l.record.Epoch {
-		l.saw(objects.Object{Version: version}, r)
+		l.setRecord(objects.Object{Version: version}, r)
 	}
 }
 
-// Named takes in that the holder of a later epoch has published something under it, whose record has not been read. The version that is
-// known stays the older one, so that nothing can be written before the holder has told its own or the lease has been read.
+// Named records the holder of a later epoch, which is known from an object that the holder has published. The lease record of that
+// epoch has not been read, so the known version stays the older one: this box cannot write the lease before the holder has reported its
+// version or the lease has been read.
 func (l *Lease) Named(holder, address string, epoch uint64) {
 	if epoch > l.record.Epoch {
 		l.record, l.changedAt = Record{Holder: holder, Address: address, Epoch: epoch}, clock.Now()
 	}
 }
 
-// Free reports whether the lease may be taken: it was given up, never existed, or stood unchanged for TTL and grace.
+// Free reports whether this box may acquire the lease: it was released or never existed and grace has passed, it has been unchanged for
+// TTL plus grace, or it belongs to this box's last process and Config.Reclaim is set.
 func (l *Lease) Free(now time.Time, grace time.Duration) bool {
 	at, known := l.FreeAt(grace)
 	return known && !now.Before(at)
 }
 
-// FreeAt returns from when on the lease may be taken if nobody writes it; it is not known before the lease has been read.
+// FreeAt returns the time from which this box may acquire the lease if no other box writes it. It returns false if the state of the
+// lease is not known yet.
 func (l *Lease) FreeAt(grace time.Duration) (time.Time, bool) {
 	switch {
 	case l.changedAt.IsZero():
@@ -159,44 +168,46 @@
 	}
 }
 
-// Take writes this box as the holder with the next epoch. Only call it when Free or when this box is the recorded holder.
+// Take writes this box as the holder, with the next epoch. Call it only if Free returns true or this box is the recorded holder.
 func (l *Lease) Take(ctx context.Context) error {
-	return l.write(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: max(l.record.Epoch, FirstEpoch(l.version.Era())) + 1})
+	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: max(l.record.Epoch, FirstEpoch(l.version.Era())) + 1})
 }
 
-// Ours reports whether the lease, as last read or written, is as this box wrote it. One that stands in a copy of the store does not count: another box may
-// have held it since the copy was made.
+// Ours reports whether the last known record was written by this box in the current era of the store. After the store was restored from
+// a copy it returns false, as another box may have held the lease since the copy was made.
 func (l *Lease) Ours() bool {
-	return l.token != "" && l.record.Token == l.token && EraOf(l.record.Epoch) == l.version.Era()
+	return l.lastToken != "" && l.record.Token == l.lastToken && EraOf(l.record.Epoch) == l.version.Era()
 }
 
-// Renew extends the tenure of this box. It is a conflict if another box has written since, even if this box has read that.
+// Renew extends this box's tenure. It returns objects.ErrConflict if another box has written the lease since, even if this box has
+// already read that write.
 func (l *Lease) Renew(ctx context.Context) error {
 	if !l.Ours() {
 		l.validUntil = time.Time{}
 		return objects.ErrConflict
 	}
-	return l.write(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: l.record.Epoch})
+	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: l.record.Epoch})
 }
 
-// GiveUp ends the tenure so that another box need not wait.
+// GiveUp releases the lease so that another box can acquire it without waiting for TTL.
 func (l *Lease) GiveUp(ctx context.Context) error {
 	l.validUntil = time.Time{}
-	return l.write(ctx, Record{Epoch: l.record.Epoch})
+	return l.writeRecord(ctx, Record{Epoch: l.record.Epoch})
 }
 
-// write puts r if nobody wrote since, also if the lease is seen to stand as an earlier write of this box left it.
-func (l *Lease) write(ctx context.Context, r Record) error {
-	was := l.token
-	err := l.put(ctx, r)
-	if errors.Is(err, objects.ErrConflict) && l.token != was && l.Ours() {
-		return l.put(ctx, r)
+// writeRecord writes r unless another box has written the lease. If the conflict was caused by an earlier write of this box, it tries once
+// more.
+func (l *Lease) writeRecord(ctx context.Context, r Record) error {
+	previousToken := l.lastToken
+	err := l.putRecord(ctx, r)
+	if errors.Is(err, objects.ErrConflict) && l.lastToken != previousToken && l.Ours() {
+		return l.putRecord(ctx, r)
 	}
 	return err
 }
 
-// put makes one conditional write and settles a lost answer by reading back.
-func (l *Lease) put(ctx context.Context, r Record) error {
+// putRecord makes one conditional write. If the answer is lost, it reads the lease back to find out whether the write took effect.
+func (l *Lease) putRecord(ctx context.Context, r Record) error {
 	r.Token = l.cfg.NewToken()
 	value, err := json.Marshal(r)
 	if err != nil {
@@ -205,44 +216,46 @@
 	sentAt := clock.Now()
 	version, err := l.cfg.API.Put(ctx, Kind, l.cfg.Name, l.version, value)
 	if errors.Is(err, objects.ErrAnswerLost) {
-		version, err = l.settle(ctx, r.Token)
+		version, err = l.confirmWrite(ctx, r.Token)
 	}
 	if errors.Is(err, objects.ErrConflict) {
-		return l.conflict(ctx, err)
+		return l.handleConflict(ctx, err)
 	}
 	if err != nil {
-		l.unsettled = append(l.unsettled, r.Token)
-		l.unsettled = l.unsettled[max(0, len(l.unsettled)-maxUnsettled):]
+		l.unconfirmedTokens = append(l.unconfirmedTokens, r.Token)
+		l.unconfirmedTokens = l.unconfirmedTokens[max(0, len(l.unconfirmedTokens)-maxUnconfirmedTokens):]
 		return err
 	}
-	l.unsettled = nil
-	l.record, l.version, l.changedAt, l.token = r, version, clock.Now(), r.Token
+	l.unconfirmedTokens = nil
+	l.record, l.version, l.changedAt, l.lastToken = r, version, clock.Now(), r.Token
 	if r.Holder != "" {
 		l.validUntil = sentAt.Add(l.cfg.TTL)
 	}
 	return nil
 }
 
-// conflict reads who wrote instead. While that cannot be read, and it may have been an earlier write of this box, nothing is lost yet: the
-// tenure ends by itself in time, as it is counted from the last write that was answered.
-func (l *Lease) conflict(ctx context.Context, err error) error {
-	rerr := l.Refresh(ctx)
-	if rerr != nil && len(l.unsettled) > 0 {
-		return rerr
+// handleConflict reads the record of the write that caused the conflict and ends this box's tenure. If the record cannot be read and an
+// earlier unconfirmed write of this box may have caused the conflict, the tenure is kept: it expires in time, as it is counted from the
+// last write that was answered.
+func (l *Lease) handleConflict(ctx context.Context, err error) error {
+	refreshErr := l.Refresh(ctx)
+	if refreshErr != nil && len(l.unconfirmedTokens) > 0 {
+		return refreshErr
 	}
 	l.validUntil = time.Time{}
-	return errors.Join(err, rerr)
+	return errors.Join(err, refreshErr)
 }
 
-// settle reads the lease back and says whether the write with token took effect.
-func (l *Lease) settle(ctx context.Context, token string) (objects.Position, error) {
+// confirmWrite reads the lease back. It returns the version of the write with the given token, or objects.ErrConflict if that write did
+// not take effect.
+func (l *Lease) confirmWrite(ctx context.Context, token string) (objects.Position, error) {
 	o, err := l.cfg.API.Get(ctx, Kind, l.cfg.Name)
 	if err != nil {
 		return 0, err
 	}
 	var r Record
 	if err := json.Unmarshal(o.Value, &r); err != nil {
-		return 0, eris.Wrapf(err, "lease: %s", l.cfg.Name)
+		return 0, eris.Wrapf(err, "lease: decode %s", l.cfg.Name)
 	}
 	if r.Token != token || o.Version.Era() != l.version.Era() {
 		return 0, objects.ErrConflict
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -24,7 +24,8 @@
 	}})
 }
 
-func TestTakenOnlyAfterStandingStill(t *testing.T) {
+// TestLeaseIsFreeOnlyAfterTTLWithoutChange checks that another box may acquire a lease only after it was not renewed for TTL.
+func TestLeaseIsFreeOnlyAfterTTLWithoutChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx := context.Background()
@@ -48,8 +49,9 @@
 	})
 }
 
-// TestReadingIsNotHolding lets a former holder read the new holder's lease before it renews: it must not write over it.
-func TestReadingIsNotHolding(t *testing.T) {
+// TestFormerHolderCannotRenewAfterRefresh checks that a former holder that reads the new holder's record, and so knows its version, does
+// not overwrite it by a renewal.
+func TestFormerHolderCannotRenewAfterRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx := context.Background()
@@ -66,7 +68,8 @@
 	})
 }
 
-func TestLostAnswers(t *testing.T) {
+// TestLostAnswersAreConfirmedByReading checks that writes whose answers are lost count as successful if reading back shows their tokens.
+func TestLostAnswersAreConfirmedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx := context.Background()
--- a/internal/lease/told_test.go
+++ b/internal/lease/reported_test.go
@@ -10,8 +10,9 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// TestTold hears of a lease from other boxes in any order: the holder never goes back, and what a map names is known until it is read.
-func TestTold(t *testing.T) {
+// TestRecordsReportedByOtherBoxes receives records from other boxes in any order. The known holder never changes to one with a lower
+// epoch, and a holder that is known only from a cell map counts until a newer record is received.
+func TestRecordsReportedByOtherBoxes(t *testing.T) {
 	c := qt.New(t)
 	l := lease.New(lease.Config{Holder: "box-c", TTL: time.Second})
 	l.Told(lease.Record{Holder: "box-a", Epoch: 5}, 10)
@@ -24,9 +25,9 @@
 		version objects.Position
 		holder  string
 	}{
-		{"a later write of the holder before", lease.Record{Holder: "box-a", Epoch: 5}, 12, "box-b"},
+		{"a later write of the former holder", lease.Record{Holder: "box-a", Epoch: 5}, 12, "box-b"},
 		{"an older version", lease.Record{Holder: "box-a", Epoch: 6}, 9, "box-b"},
-		{"given up", lease.Record{Epoch: 6}, 14, ""},
+		{"released by the holder", lease.Record{Epoch: 6}, 14, ""},
 		{"the next holder", lease.Record{Holder: "box-d", Epoch: 7}, 15, "box-d"},
 	} {
 		l.Told(test.record, test.version)
