--- a/internal/coordinator/assign.go
+++ b/internal/coordinator/assign.go
@@ -74,6 +74,7 @@
 	return names
 }
 
+// findLiveBoxes returns the members that are neither leaving nor silent, sorted by name.
 func (s *State) findLiveBoxes() []string {
 	var boxes []string
 	for b, m := range s.members {
--- a/internal/coordinator/batch.go
+++ b/internal/coordinator/batch.go
@@ -37,7 +37,7 @@
 
 // News contains the changes that a box receives in addition to its grants.
 type News struct {
-	// Changes lists object changes after the positions in Beat.Known. Map contains the changes of the cell map.
+	// Changes lists the object changes after the positions in Beat.Known or Batch.Known. Map contains the changes of the cell map.
 	Changes []objects.KindChanges `json:"changes,omitempty"`
 	Map     *Delta                `json:"map,omitempty"`
 	// StoreAge is the time since the platform's store last answered the coordinator, also if an aggregator forwards it.
--- a/internal/coordinator/delta.go
+++ b/internal/coordinator/delta.go
@@ -46,6 +46,7 @@
 		approxNameSize*(len(d.MembersGone)+len(d.OwnersGone)+len(d.Head.Leaving)) + approxQuarantinedSize*len(d.Head.Quarantined)
 }
 
+// diffLists returns the entries of to that are new or differ from the entry of the same key in from, and the keys that only from has.
 func diffLists[T comparable](from, to []T, key func(T) string) (changed []T, removed []string) {
 	before := make(map[string]T, len(from))
 	for _, t := range from {
@@ -78,6 +79,7 @@
 	return out, true
 }
 
+// applyChanges returns base without the removed keys and with the changed entries, sorted by key.
 func applyChanges[T any](base, changed []T, removed []string, key func(T) string) []T {
 	byKey := make(map[string]T, len(base)+len(changed))
 	for _, t := range base {
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -144,6 +144,7 @@
 	return s.cfg.Restored && !s.hasPublished && now.Before(s.cfg.Started.Add(s.cfg.UnheardAfter))
 }
 
+// adoptOwnership records an ownership from a map or a heartbeat, unless an equal or higher epoch of the engine is already known.
 func (s *State) adoptOwnership(o Ownership) {
 	s.highestEpoch = max(s.highestEpoch, o.Epoch)
 	if known, ok := s.owners[o.Engine]; ok && known.Epoch >= o.Epoch {
@@ -326,6 +327,7 @@
 	delete(s.reservedFor, o.Engine)
 }
 
+// dropExpiredMembers removes members that have been silent for longer than a term, and their ownerships.
 func (s *State) dropExpiredMembers(now time.Time) {
 	for box, m := range s.members {
 		if now.Sub(m.lastSeen) > s.cfg.Term {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -69,7 +69,8 @@
 	// the write took effect. Without them, a holder with a slow store would mistake its own write for that of another box and give up the
 	// lease.
 	unconfirmedTokens []string
-	// validUntil is when this box's tenure ends unless it is renewed. It is zero before the lease is acquired and after it is lost or released.
+	// validUntil is when this box's tenure ends unless it is renewed. It is zero before the lease is acquired and after it is lost or
+	// released.
 	validUntil time.Time
 }
 
@@ -107,6 +108,7 @@
 	return nil
 }
 
+// setRecord records the state of the lease object. If it shows an unconfirmed write of this box, that write counts as successful.
 func (l *Lease) setRecord(o objects.Object, r Record) {
 	if o.Version != l.version || l.changedAt.IsZero() {
 		l.changedAt = clock.Now()
@@ -195,8 +197,8 @@
 	return l.writeRecord(ctx, Record{Epoch: l.record.Epoch})
 }
 
-// writeRecord writes r unless another box has written the lease. If the conflict was caused by an earlier write of this box, it tries once
-// more.
+// writeRecord writes r unless another box has written the lease. If the conflict was caused by an earlier write of this box, it tries
+// once more.
 func (l *Lease) writeRecord(ctx context.Context, r Record) error {
 	previousToken := l.lastToken
 	err := l.putRecord(ctx, r)
