--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -14,16 +14,17 @@
 	"github.com/bellgap/bellgap/internal/route"
 )
 
-// here is a cell of one box, accountable for all.
-type here struct{}
+// soleBoxCell is a cell with a single box, which is accountable for all customers.
+type soleBoxCell struct{}
 
-func (here) For(string) (netip.AddrPort, bool, bool) { return netip.AddrPort{}, true, true }
-func (here) Boxes() int                              { return 1 }
+func (soleBoxCell) For(string) (netip.AddrPort, bool, bool) { return netip.AddrPort{}, true, true }
+func (soleBoxCell) Boxes() int                              { return 1 }
 
-// BenchmarkCustomer measures what customers cost a request, without the call to the accountable box: the key's digest, its look-up when the request
-// comes and before it is sent, and the units, beside a route that needs no key.
+// BenchmarkCustomer measures the cost per request of customer identification and quotas, without the call to the
+// accountable box. The cost consists of the key's digest, its lookups when the request arrives and before it is sent,
+// and the units. A route without keys serves as the baseline.
 func BenchmarkCustomer(b *testing.B) {
-	routing := keyed(nil)
+	routing := keyedRouting(nil)
 	for i := range 16 {
 		routing.Customers = append(routing.Customers, customer.Customer{
 			Name: fmt.Sprint("customer-", i), Keys: []customer.Digest{customer.DigestOf(fmt.Sprint("key-", i))},
@@ -38,7 +39,7 @@
 			now := time.Now()
 			r := New(Config{
 				Ages:   AgesConfig{Keys: time.Hour, ConfirmedAt: func() time.Time { return now }},
-				Quotas: quota.NewClient(quota.ClientConfig{Accountable: here{}, Ledger: quota.NewLedger(quota.LedgerConfig{}), Scope: tally.NoopScope}),
+				Quotas: quota.NewClient(quota.ClientConfig{Accountable: soleBoxCell{}, Ledger: quota.NewLedger(quota.LedgerConfig{}), Scope: tally.NoopScope}),
 			})
 			in, err := http.NewRequestWithContext(b.Context(), http.MethodPost, "http://h/x", nil)
 			if err != nil {
@@ -46,11 +47,11 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				q := &request{came: now, in: in, route: rt, head: Head{Key: "key-7", Prompt: 1460, Output: 80, Counted: true}}
-				if rerr := r.identify(q, table); rerr != nil {
+				q := &request{receivedAt: now, incoming: in, route: rt, head: Head{Key: "key-7", Prompt: 1460, Output: 80, Counted: true}}
+				if rerr := r.identifyCustomer(q, table); rerr != nil {
 					b.Fatal(rerr)
 				}
-				if rerr := r.takeUnits(q); rerr != nil {
+				if rerr := r.chargeUnits(q); rerr != nil {
 					b.Fatal(rerr)
 				}
 				if !open {
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -2,20 +2,22 @@
 
 import "sync"
 
-// BudgetConfig bounds the arrivals at a service beyond the first of each request, over all boxes.
+// BudgetConfig limits the retries that all boxes send to a service. Each arrival of a request at an endpoint after
+// its first one counts as a retry.
 type BudgetConfig struct {
-	// PerRequest is the part of a repeat that each request allows.
+	// PerRequest is the fraction of a retry that each request adds to the budget.
 	PerRequest float64
-	// Allowance is what all boxes together may use beside that within a window.
+	// Allowance is the number of additional retries that all boxes together may send within a window.
 	Allowance float64
-	// Boxes returns how many boxes share the allowance.
+	// Boxes returns the number of boxes that share the allowance.
 	Boxes func() int
 }
 
-// budgetCaution is the part of its share that a box uses: boxes count their own requests, and shares overlap while boxes come and go.
-const budgetCaution = 0.7
+// budgetSafetyFactor is the fraction of its share that a box uses. It is less than 1 because boxes count only their
+// own requests, and because shares overlap while boxes join and leave.
+const budgetSafetyFactor = 0.7
 
-// budgets bounds the repeats to each service, so that repeats cannot multiply an overload.
+// budgets limits the retries to each service, so that retries cannot multiply an overload.
 type budgets struct {
 	cfg    BudgetConfig
 	mu     sync.Mutex
@@ -24,23 +26,23 @@
 
 func newBudgets(cfg BudgetConfig) *budgets { return &budgets{cfg: cfg, tokens: map[string]float64{}} }
 
-// most returns how many repeats a box may save up.
-func (b *budgets) most() float64 {
-	return max(1, budgetCaution*b.cfg.Allowance/float64(max(1, b.cfg.Boxes())))
+// maxTokens returns how many retries a box may accumulate for a service.
+func (b *budgets) maxTokens() float64 {
+	return max(1, budgetSafetyFactor*b.cfg.Allowance/float64(max(1, b.cfg.Boxes())))
 }
 
-// earn adds what one request allows.
+// earn adds to the budget of a service the fraction of a retry that one request allows.
 func (b *budgets) earn(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	have, known := b.tokens[service]
+	balance, known := b.tokens[service]
 	if !known {
-		have = b.most()
+		balance = b.maxTokens()
 	}
-	b.tokens[service] = min(have+budgetCaution*b.cfg.PerRequest, b.most())
+	b.tokens[service] = min(balance+budgetSafetyFactor*b.cfg.PerRequest, b.maxTokens())
 }
 
-// spend takes one repeat if there is one.
+// spend takes one retry from the budget of a service. It reports whether one was available.
 func (b *budgets) spend(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -15,32 +15,35 @@
 )
 
 const (
-	// maxCandidates is how many engines are asked for one request unless its adapter version is crowded.
+	// maxCandidates is how many engines are asked for one request, unless its adapter version is crowded: all engines
+	// that have the version locally are too busy to start the request in time.
 	maxCandidates = 6
-	// maxAsked bounds the engines that are asked when it is. The most wanted adapter draws a fifth of all requests, which at 500
-	// requests a second and 12 slots an engine takes some 15 engines.
-	maxAsked = 18
-	// crowdedFor is how long after the last sign of it an adapter version counts as crowded: a few times the life of a request.
-	crowdedFor = 5 * time.Second
+	// maxCandidatesCrowded bounds the engines that are asked if the version is crowded. The most popular adapter
+	// receives a fifth of all requests. At 500 requests per second and 12 slots per engine, these need about 15 engines.
+	maxCandidatesCrowded = 18
+	// crowdedTTL is how long an adapter version counts as crowded after this was last observed: a few times the duration
+	// of a request.
+	crowdedTTL = 5 * time.Second
 )
 
 // candidate is an engine that may serve a request.
 type candidate struct {
 	name    string
 	address netip.AddrPort
-	// started is the Unix millisecond of its start, zero if it does not say.
+	// started is when the engine started, in Unix milliseconds, zero if the engine does not report it.
 	started int64
 	owner   coordinator.Member
-	// holds says that the adapter version is there, by discovery or by earlier answers.
-	holds bool
-	// doubtful says that requests failed there lately, near that it is in this box's zone.
-	doubtful bool
-	near     bool
-	// usedUp says that the engine's rate leaves nothing for the request.
-	usedUp bool
+	// holdsVersion is set if the engine holds the adapter version according to discovery or to earlier answers.
+	holdsVersion bool
+	// failedRecently is set if requests recently failed at the engine, sameZone if the engine is in this box's zone.
+	failedRecently bool
+	sameZone       bool
+	// rateExhausted is set if the engine's rate leaves nothing for the request.
+	rateExhausted bool
 }
 
-// candidates returns the engines for an adapter version in the order in which they are asked.
+// candidates returns the engines for an adapter version in the order in which they are asked. It omits the engines in
+// avoid.
 func (r *Relay) candidates(q *request, ref resource.Ref, avoid map[string]bool) []candidate {
 	t := r.cfg.Catalog.Topology()
 	now := clock.Now()
@@ -48,42 +51,45 @@
 	var names []string
 	for _, e := range t.Endpoints[q.service] {
 		view, declared := t.Engines[e.Name]
-		if !declared || e.Spec.Leaving || avoid[e.Name] || view.Spec.BaseModel != q.head.Model || r.rests(e) {
+		if !declared || e.Spec.Leaving || avoid[e.Name] || view.Spec.BaseModel != q.head.Model || r.isResting(e) {
 			continue
 		}
-		if r.rateUsedUp(q, e.Name) {
-			q.limited.add(0)
+		if r.isRateExhausted(q, e.Name) {
+			q.rateLimited.add(0)
 			continue
 		}
 		_, failures := r.health.load(e.Name, now)
 		byName[e.Name] = candidate{
-			name: e.Name, address: e.Spec.Address, started: e.Spec.Started, owner: view.Owner, doubtful: failures >= avoidFrom && r.cfg.Policy.On(policy.Health),
-			holds: holds(e, ref) || r.memory.holds(ref, e.Name, now), near: e.Spec.Zone == r.cfg.Zone && r.cfg.Policy.On(policy.NearZone),
+			name: e.Name, address: e.Spec.Address, started: e.Spec.Started, owner: view.Owner, failedRecently: failures >= avoidThreshold && r.cfg.Policy.On(policy.Health),
+			holdsVersion: listsVersion(e, ref) || r.holdings.has(ref, e.Name, now), sameZone: e.Spec.Zone == r.cfg.Zone && r.cfg.Policy.On(policy.NearZone),
 		}
 		names = append(names, e.Name)
 	}
 	key := ref.String()
 	if ref.IsBase() {
-		// Without an adapter any engine does; what the request is spreads the load, and brings those that look alike to the same one.
+		// Any engine can serve a request without an adapter. Ranking by the fingerprint spreads the load and sends
+		// identical requests to the same engine.
 		key = q.suspect.Fingerprint.String()
 	}
 	ranked := make([]candidate, 0, len(names))
 	for _, name := range placement.Rank(key, names) {
 		ranked = append(ranked, byName[name])
 	}
-	return arrange(ranked, r.crowds.Has(ref, now) && r.cfg.Policy.On(policy.Crowds))
+	return orderCandidates(ranked, r.crowdedRefs.Has(ref, now) && r.cfg.Policy.On(policy.Crowds))
 }
 
-// arrange puts ranked candidates in the order in which they are asked: the first few, those further on that hold the version, the
-// next few, and last those that failed lately. If the version is crowded, all that hold it come first, those in this box's zone
-// before the others and else in no order, so that its requests spread over them without asking the full ones first.
-func arrange(ranked []candidate, crowded bool) []candidate {
-	var first, holders, next, doubtful []candidate
+// orderCandidates returns ranked candidates in the order in which they are asked. The first maxCandidates come first,
+// then other candidates that hold the version, then the remaining ones, and last those that failed recently.
+//
+// If the version is crowded, all candidates that hold it come first: those in this box's zone before the others, and
+// otherwise in random order. This spreads the requests over these engines without asking the full ones first.
+func orderCandidates(ranked []candidate, crowded bool) []candidate {
+	var first, holders, next, failed []candidate
 	for _, c := range ranked {
 		switch {
-		case c.doubtful:
-			doubtful = append(doubtful, c)
-		case c.holds && (crowded || len(first) >= maxCandidates):
+		case c.failedRecently:
+			failed = append(failed, c)
+		case c.holdsVersion && (crowded || len(first) >= maxCandidates):
 			holders = append(holders, c)
 		case len(first) < maxCandidates:
 			first = append(first, c)
@@ -93,25 +99,28 @@
 	}
 	if crowded {
 		rand.Shuffle(len(holders), func(i, j int) { holders[i], holders[j] = holders[j], holders[i] })
-		slices.SortStableFunc(holders, nearFirst)
+		slices.SortStableFunc(holders, compareZones)
 		first, holders = holders, first
 	}
-	all := slices.Concat(first, holders, next, doubtful)
-	return all[:min(len(all), maxAsked)]
+	all := slices.Concat(first, holders, next, failed)
+	return all[:min(len(all), maxCandidatesCrowded)]
 }
 
-func nearFirst(a, b candidate) int {
+// compareZones orders candidates in this box's zone before the others.
+func compareZones(a, b candidate) int {
 	switch {
-	case a.near == b.near:
+	case a.sameZone == b.sameZone:
 		return 0
-	case a.near:
+	case a.sameZone:
 		return -1
 	default:
 		return 1
 	}
 }
 
-func holds(e catalog.EndpointView, ref resource.Ref) bool {
+// listsVersion reports whether discovery lists an endpoint as holding an adapter version. If ref names no adapter,
+// any endpoint with a base model qualifies.
+func listsVersion(e catalog.EndpointView, ref resource.Ref) bool {
 	if ref.IsBase() {
 		return e.Spec.BaseModel != ""
 	}
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -14,63 +14,69 @@
 )
 
 const (
-	// acceptShare is the part of the objective up to which an expected wait is accepted at once; beyond it all candidates
-	// are compared.
-	acceptShare = 0.5
-	// inTimeShare is the part of the objective up to which an expected first token counts as in time; the rest is for what was
-	// expected wrongly.
+	// acceptWaitShare is the part of the objective up to which an expected wait is accepted at once. If no wait is that
+	// short, all candidates are compared.
+	acceptWaitShare = 0.5
+	// inTimeShare is the part of the objective up to which an expected first token counts as in time. The rest is a
+	// margin for wrong estimates.
 	inTimeShare = 0.85
-	// copyShare is the part of the objective by which a copy of an adapter has to be sooner where an engine that has it near may
-	// start the request in time as well.
-	copyShare = 0.5
-	// orderShare is the part of the objective that a place in the order is worth: without it, differences between guesses would
-	// scatter an adapter's requests over all engines, each of which would bring it from the weight store.
-	orderShare = 0.125
-	// ownerlessShare is the part of the objective for which a request looks for an owner, every ownerlessLook.
-	ownerlessShare = 0.5
-	ownerlessLook  = 60 * time.Millisecond
-	// pressedFrom is after how many engines asked in vain a request counts as pressed.
-	pressedFrom = 3
-	// urgencies turns a rank, 0 first, into an urgency, higher first.
-	urgencies = 10
+	// copyGainShare is the part of the objective that loading another copy of an adapter must save if an engine that has
+	// the adapter locally can also start the request in time.
+	copyGainShare = 0.5
+	// positionShare is the part of the objective that one position in the candidate order is worth. Without it,
+	// differences between estimates would scatter an adapter's requests over all engines, and each engine would load the
+	// adapter from the weight store.
+	positionShare = 0.125
+	// ownerSearchShare is the part of the objective for which a request looks for an owner. It looks again every
+	// ownerSearchInterval.
+	ownerSearchShare    = 0.5
+	ownerSearchInterval = 60 * time.Millisecond
+	// pressedAfter is how many engines are asked before a request that none of them can start in time is marked as
+	// pressed.
+	pressedAfter = 3
+	// urgencyBase converts ranks to urgencies: the urgency is urgencyBase minus the rank. Rank 0 goes first, and so does
+	// the highest urgency.
+	urgencyBase = 10
 )
 
-// chosen is an engine that a request may be sent to now.
-type chosen struct {
+// chosenEngine is an engine to which a request may be sent now.
+type chosenEngine struct {
 	name    string
 	address netip.AddrPort
 	started int64
-	// read tells the owner that the first token has come, end that the request is over.
-	read func()
-	end  func(owner.End)
+	// reportFirstToken notifies the owner that the first token has arrived. release notifies the owner that the request
+	// has ended.
+	reportFirstToken func()
+	release          func(owner.End)
 }
 
-// destination returns where the request is sent.
-func (c *chosen) destination() destination { return destination{c.name, c.address, c.started} }
+// destination returns the endpoint that the request is sent to.
+func (c *chosenEngine) destination() destination { return destination{c.name, c.address, c.started} }
 
-// choose finds an engine for a request. While no owner can be asked, as right after a start or between two owners, it looks again.
-// If the engine chosen cannot take the request after all, it goes on to the next ones; avoid then holds the engine.
-func (r *Relay) choose(ctx context.Context, q *request, ref resource.Ref, avoid map[string]bool) (*chosen, *result.Error) {
-	giveUp := q.came.Add(shareOf(q.route.Objective, ownerlessShare))
+// chooseEngine finds an engine for a request. While no owner can be asked, for example right after a start or during
+// a change of ownership, it tries again for a limited time. If the chosen engine cannot take the request after all,
+// chooseEngine adds it to avoid and tries the next candidates.
+func (r *Relay) chooseEngine(ctx context.Context, q *request, ref resource.Ref, avoid map[string]bool) (*chosenEngine, *result.Error) {
+	giveUpAt := q.receivedAt.Add(shareOf(q.route.Objective, ownerSearchShare))
 	for {
-		tried := len(avoid)
-		c, rerr := r.chooseNow(ctx, q, ref, avoid)
-		if rerr != nil && len(avoid) > tried && q.limitedAsks < maxAsked && ctx.Err() == nil {
+		avoidedBefore := len(avoid)
+		c, rerr := r.chooseEngineOnce(ctx, q, ref, avoid)
+		if rerr != nil && len(avoid) > avoidedBefore && q.rateLimitedAsks < maxCandidatesCrowded && ctx.Err() == nil {
 			continue
 		}
-		if rerr == nil || !ownerless(rerr) || !clock.Now().Add(ownerlessLook).Before(giveUp) {
-			return c, r.spreadReturn(q, rerr)
+		if rerr == nil || !isOwnerUnavailable(rerr) || !clock.Now().Add(ownerSearchInterval).Before(giveUpAt) {
+			return c, r.spreadRetry(q, rerr)
 		}
 		select {
-		case <-time.After(ownerlessLook):
+		case <-time.After(ownerSearchInterval):
 		case <-ctx.Done():
 			return nil, result.New(result.CallerGone, "%v", context.Cause(ctx))
 		}
 	}
 }
 
-// ownerless reports whether a failure means that no owner could be asked.
-func ownerless(rerr *result.Error) bool {
+// isOwnerUnavailable reports whether an error means that no owner could be asked.
+func isOwnerUnavailable(rerr *result.Error) bool {
 	switch rerr.Code {
 	case result.NotOwner, result.NoEngine, result.OwnerSilent:
 		return true
@@ -79,8 +85,8 @@
 	}
 }
 
-// cannotTake reports whether an owner said that its engine cannot take a request that it would have taken a moment before.
-func cannotTake(rerr *result.Error) bool {
+// isOfferWithdrawn reports whether an owner refused a request that it had offered to take a moment before.
+func isOfferWithdrawn(rerr *result.Error) bool {
 	switch rerr.Code {
 	case result.LoadFailed, result.TryNext, result.QueueFull, result.RateLimited:
 		return true
@@ -89,116 +95,122 @@
 	}
 }
 
-// chooseNow asks the candidates whether the adapter version is near enough to start the request soon, and takes the first that
-// says so, else the best of what they said. Where no owner answers, one that is listed as holding the version is taken.
-// More than the first few are only asked while all that have it near are too busy to start the request in time.
-func (r *Relay) chooseNow(ctx context.Context, q *request, ref resource.Ref, avoid map[string]bool) (*chosen, *result.Error) {
+// chooseEngineOnce asks the owners of the candidates for a grant. It takes the first engine that has the adapter
+// version locally and can start the request soon. Otherwise it takes the best offer. If no owner answers, it takes an
+// engine that is listed as holding the version.
+//
+// More than maxCandidates engines are asked only while all engines that have the version locally are too busy to
+// start the request in time.
+func (r *Relay) chooseEngineOnce(ctx context.Context, q *request, ref resource.Ref, avoid map[string]bool) (*chosenEngine, *result.Error) {
 	candidates := r.candidates(q, ref, avoid)
 	if len(candidates) == 0 {
-		if rerr := r.nobodyWants(q); rerr != nil {
+		if rerr := r.refuseIfNoneAvailable(q); rerr != nil {
 			return nil, rerr
 		}
 	}
-	ask := r.ask(q, ref)
-	ask.Accept, ask.Near = shareOf(q.route.Objective, acceptShare), r.cfg.Policy.On(policy.Copies)
+	ask := r.newAsk(q, ref)
+	ask.Accept, ask.Near = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.On(policy.Copies)
 	offers := r.newOffers(q)
-	last := result.New(result.NoEngine, "%s of %s", q.head.Model, q.service)
+	lastErr := result.New(result.NoEngine, "%s of %s", q.head.Model, q.service)
 	asked := 0
 	for i := range candidates {
-		wider := offers.crowded() && r.cfg.Policy.On(policy.Crowds)
-		if asked >= maxCandidates && !wider {
+		askMore := offers.isCrowded() && r.cfg.Policy.On(policy.Crowds)
+		if asked >= maxCandidates && !askMore {
 			break
 		}
 		c := &candidates[i]
-		ask.Pressed = offers.pressed() && i >= min(pressedFrom, len(candidates)-1)
-		got, rerr := r.acquire(ctx, q, c, ask)
+		ask.Pressed = offers.noneInTime() && i >= min(pressedAfter, len(candidates)-1)
+		engine, rerr := r.acquireGrant(ctx, q, c, ask)
 		if rerr == nil {
-			return got, nil
+			return engine, nil
 		}
 		if rerr.Code == result.CallerGone || rerr.Code == result.TimedOut {
 			return nil, rerr
 		}
 		if rerr.Code == result.RateLimited {
-			// One that is left out for its rate is not one of the first few.
-			c.usedUp, avoid[c.name] = true, true
-			q.leftOut(rerr)
-			if c.holds || ask.Pressed {
-				// Else it may have been refused for an adapter that would have to be brought, which says nothing of other requests.
-				r.noteUsedUp(q, c.name)
+			// An engine that is skipped for its rate does not count towards maxCandidates.
+			c.rateExhausted, avoid[c.name] = true, true
+			q.addRateLimited(rerr)
+			if c.holdsVersion || ask.Pressed {
+				// Otherwise the refusal may be due to an adapter that would have to be loaded, which does not affect other
+				// requests.
+				r.markRateExhausted(q, c.name)
 			}
 			continue
 		}
 		asked++
-		last = rerr
-		if sentOn(rerr) && rerr.RetryAfter > 0 {
-			offers.add(c, rerr, r.placeWeight(q)*time.Duration(min(i, maxCandidates)))
+		lastErr = rerr
+		if isReferral(rerr) && rerr.RetryAfter > 0 {
+			offers.add(c, rerr, r.positionWeight(q)*time.Duration(min(i, maxCandidates)))
 		}
 	}
-	if offers.crowded() {
-		r.crowds.Add(ref, clock.Now())
+	if offers.isCrowded() {
+		r.crowdedRefs.Add(ref, clock.Now())
 	}
 	if best := offers.best(); best != nil {
-		got, rerr := r.takeOffer(ctx, q, best, ask)
-		if rerr != nil && cannotTake(rerr) {
+		engine, rerr := r.acceptOffer(ctx, q, best, ask)
+		if rerr != nil && isOfferWithdrawn(rerr) {
 			avoid[best.candidate.name] = true
 		}
 		if rerr != nil && rerr.Code == result.RateLimited {
-			q.leftOut(rerr)
+			q.addRateLimited(rerr)
 		}
-		return got, rerr
+		return engine, rerr
 	}
-	if got := r.withoutOwner(candidates, ref); got != nil {
-		q.tried(got.name, "without owner")
-		return got, nil
+	if engine := r.chooseWithoutOwner(candidates, ref); engine != nil {
+		q.recordTry(engine.name, "without owner")
+		return engine, nil
 	}
-	if q.limited.count > 0 && (asked == 0 || (last.Wait() == 0 && !ownerless(last))) {
-		// The others have not said when they could take it.
-		last = result.New(result.RateLimited, "%s of %s", q.head.Model, q.service)
+	if q.rateLimited.count > 0 && (asked == 0 || (lastErr.Wait() == 0 && !isOwnerUnavailable(lastErr))) {
+		// The other owners have not reported when they could take the request.
+		lastErr = result.New(result.RateLimited, "%s of %s", q.head.Model, q.service)
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// takeOffer waits for the grant of the best engine, unless that is not expected in the request's time.
-func (r *Relay) takeOffer(ctx context.Context, q *request, best *offer, ask grant.Ask) (*chosen, *result.Error) {
+// acceptOffer waits for the grant of the engine with the best offer. It refuses the request at once if the engine is
+// not expected to start the request in its time.
+func (r *Relay) acceptOffer(ctx context.Context, q *request, best *offer, ask grant.Ask) (*chosenEngine, *result.Error) {
 	if ask.StartIn < best.wait && r.cfg.Policy.On(policy.Admission) {
-		late := result.New(result.DeadlineUnmet, "the soonest start is in %s", best.wait.Round(time.Millisecond))
-		late.RetryAfter = best.wait
-		return nil, late
+		unmet := result.New(result.DeadlineUnmet, "the earliest start is in %s", best.wait.Round(time.Millisecond))
+		unmet.RetryAfter = best.wait
+		return nil, unmet
 	}
 	ask.Accept, ask.Near, ask.Last, ask.Pressed = 0, false, true, false
-	return r.acquire(ctx, q, best.candidate, ask)
+	return r.acquireGrant(ctx, q, best.candidate, ask)
 }
 
-// newOffers returns no offers yet for a request.
+// newOffers returns an empty collection of offers for a request.
 func (r *Relay) newOffers(q *request) offers {
 	return offers{
-		copies: r.cfg.Policy.On(policy.Copies), price: shareOf(q.route.Objective, copyShare),
-		inTime: shareOf(q.route.Objective, inTimeShare) - clock.Since(q.came),
+		limitCopies: r.cfg.Policy.On(policy.Copies), minGain: shareOf(q.route.Objective, copyGainShare),
+		inTime: shareOf(q.route.Objective, inTimeShare) - clock.Since(q.receivedAt),
 	}
 }
 
-// placeWeight returns what a place in the order of engines weighs for a request.
-func (r *Relay) placeWeight(q *request) time.Duration {
+// positionWeight returns the time that one position in the candidate order is worth for a request.
+func (r *Relay) positionWeight(q *request) time.Duration {
 	if !r.cfg.Policy.On(policy.Order) {
 		return 0
 	}
-	return shareOf(q.route.Objective, orderShare)
+	return shareOf(q.route.Objective, positionShare)
 }
 
-// shareOf returns a part of a request's objective.
+// shareOf returns the given fraction of an objective.
 func shareOf(objective resource.Duration, share float64) time.Duration {
 	return time.Duration(share * float64(objective))
 }
 
-// sentOn reports whether an owner sent a request on to other engines.
-func sentOn(rerr *result.Error) bool {
+// isReferral reports whether an owner referred a request to other engines.
+func isReferral(rerr *result.Error) bool {
 	return rerr.Code == result.TryNext || rerr.Code == result.Crowded
 }
 
-func (r *Relay) ask(q *request, ref resource.Ref) grant.Ask {
+// newAsk returns what the owner of an engine needs to decide about a request.
+func (r *Relay) newAsk(q *request, ref resource.Ref) grant.Ask {
 	a := grant.Ask{
-		Urgency: q.urgency(), Customer: q.customerName(), Hold: q.left() + holdSlack, Prompt: q.head.Prompt, Output: q.head.expectedOutput(), Parts: q.head.Parts,
-		StartIn: min(q.left(), time.Duration(startWithin*float64(q.route.Objective))-clock.Since(q.came)),
+		Urgency: q.urgency(), Customer: q.customerName(), Hold: q.timeLeft() + grantSlack, Prompt: q.head.Prompt, Output: q.head.expectedOutput(), Parts: q.head.Parts,
+		StartIn: min(q.timeLeft(), time.Duration(maxStartObjectives*float64(q.route.Objective))-clock.Since(q.receivedAt)),
 	}
 	if !ref.IsBase() {
 		a.Ref, a.Weights = ref.String(), ref.String()
@@ -206,80 +218,84 @@
 	return a
 }
 
-// acquire asks a candidate's owner and notes the answer.
-func (r *Relay) acquire(ctx context.Context, q *request, c *candidate, a grant.Ask) (*chosen, *result.Error) {
-	got, rerr := r.askOwner(ctx, c, a)
+// acquireGrant asks the owner of a candidate for a grant and records the outcome.
+func (r *Relay) acquireGrant(ctx context.Context, q *request, c *candidate, a grant.Ask) (*chosenEngine, *result.Error) {
+	engine, rerr := r.askOwner(ctx, c, a)
 	switch {
 	case rerr == nil:
-		q.tried(c.owner.Box+"/"+c.name, "granted")
+		q.recordTry(c.owner.Box+"/"+c.name, "granted")
 	case rerr.RetryAfter > 0:
-		q.tried(c.owner.Box+"/"+c.name, rerr.Code.String()+":"+rerr.RetryAfter.Round(time.Millisecond).String())
+		q.recordTry(c.owner.Box+"/"+c.name, rerr.Code.String()+":"+rerr.RetryAfter.Round(time.Millisecond).String())
 	default:
-		q.tried(c.owner.Box+"/"+c.name, rerr.Code.String())
+		q.recordTry(c.owner.Box+"/"+c.name, rerr.Code.String())
 	}
-	return got, rerr
+	return engine, rerr
 }
 
-func (r *Relay) askOwner(ctx context.Context, c *candidate, a grant.Ask) (*chosen, *result.Error) {
+// askOwner asks the owner of a candidate, on this box or on another one, for a grant.
+func (r *Relay) askOwner(ctx context.Context, c *candidate, a grant.Ask) (*chosenEngine, *result.Error) {
 	a.Engine, a.Rate = c.name, r.cfg.Rates.Word(clock.Now(), c.name, c.started)
 	if runner, ok := r.cfg.Owners.Get(c.name); ok {
-		return r.acquireHere(ctx, runner, c, a)
+		return r.acquireLocal(ctx, runner, c, a)
 	}
 	if c.owner.Box == "" || c.owner.Box == r.cfg.Box {
-		return nil, result.New(result.NotOwner, "%s has no owner now", c.name)
+		return nil, result.New(result.NotOwner, "%s has no owner at present", c.name)
 	}
-	if r.suspects.Has(c.owner.Box, clock.Now()) {
-		return nil, result.New(result.OwnerSilent, "%s did not answer lately", c.owner.Box)
+	if r.silentBoxes.Has(c.owner.Box, clock.Now()) {
+		return nil, result.New(result.OwnerSilent, "%s recently did not answer", c.owner.Box)
 	}
 	g, err := r.cfg.Grants.Acquire(ctx, c.owner.Peer, a)
 	if err != nil {
 		rerr := result.From(err, result.OwnerSilent)
 		if rerr.Code == result.OwnerSilent {
-			r.suspects.Add(c.owner.Box, clock.Now())
+			r.silentBoxes.Add(c.owner.Box, clock.Now())
 		}
 		return nil, rerr
 	}
-	return &chosen{name: c.name, address: c.address, started: c.started, read: g.Read, end: g.End}, nil
+	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.Read, release: g.End}, nil
 }
 
-func (r *Relay) acquireHere(ctx context.Context, runner *owner.Runner, c *candidate, a grant.Ask) (*chosen, *result.Error) {
-	q, rerr := a.Request(clock.Now())
+// acquireLocal asks for a grant for an engine that this box owns.
+func (r *Relay) acquireLocal(ctx context.Context, runner *owner.Runner, c *candidate, a grant.Ask) (*chosenEngine, *result.Error) {
+	ownerRequest, rerr := a.Request(clock.Now())
 	if rerr != nil {
 		return nil, rerr
 	}
-	g, err := runner.Acquire(ctx, q)
+	g, err := runner.Acquire(ctx, ownerRequest)
 	if err != nil {
 		return nil, result.From(err, result.QueueFull)
 	}
-	return &chosen{name: c.name, address: c.address, started: c.started, read: g.Read, end: g.Release}, nil
+	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.Read, release: g.Release}, nil
 }
 
-// withoutOwner picks an engine that is listed as holding the adapter version, for requests that no owner can be asked about:
-// sending needs no authority, and an engine that does not hold the version says so without running the request.
-func (r *Relay) withoutOwner(candidates []candidate, ref resource.Ref) *chosen {
+// chooseWithoutOwner picks an engine that is listed as holding the adapter version while no owner can be asked.
+// Sending a request needs no authority, and an engine that does not hold the version refuses the request without
+// running it.
+func (r *Relay) chooseWithoutOwner(candidates []candidate, ref resource.Ref) *chosenEngine {
 	if !r.cfg.Policy.On(policy.Ownerless) {
 		return nil
 	}
 	now := clock.Now()
 	var best *candidate
-	least := 0.0
+	leastLoad := 0.0
 	for i := range candidates {
 		c := &candidates[i]
-		if c.usedUp || (!c.holds && !ref.IsBase()) {
+		if c.rateExhausted || (!c.holdsVersion && !ref.IsBase()) {
 			continue
 		}
 		inFlight, failures := r.health.load(c.name, now)
-		if load := float64(inFlight) + urgencies*failures; best == nil || load < least {
-			best, least = c, load
+		// A recent failure outweighs several requests in flight.
+		if load := float64(inFlight) + urgencyBase*failures; best == nil || load < leastLoad {
+			best, leastLoad = c, load
 		}
 	}
 	if best == nil {
 		return nil
 	}
 	if _, ok := r.cfg.Rates.TakeLone(now, best.name, best.started); !ok {
-		best.usedUp = true
-		return r.withoutOwner(candidates, ref)
+		best.rateExhausted = true
+		return r.chooseWithoutOwner(candidates, ref)
 	}
 	r.cfg.Scope.Counter("sent_without_owner").Inc(1)
-	return &chosen{name: best.name, address: best.address, started: best.started, read: func() {}, end: func(owner.End) {}}
+	return &chosenEngine{name: best.name, address: best.address, started: best.started, reportFirstToken: func() {}, release: func(owner.End) {}}
 }
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -29,7 +29,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// plainWire sends no headers but the request's id and takes every answer for the endpoint's own.
+// plainWire sends no headers except the request id and accepts every answer as coming from the endpoint.
 type plainWire struct{}
 
 func (plainWire) ReadHead(h http.Header) (Head, error) {
@@ -42,15 +42,15 @@
 func (plainWire) WriteRetryAfter(http.Header, time.Duration) {}
 func (plainWire) EventID([]byte) string                      { return "" }
 
-// servedAddress starts a server and returns where it listens.
-func servedAddress(c *qt.C, h http.Handler) netip.AddrPort {
+// startServer starts a server and returns its address.
+func startServer(c *qt.C, h http.Handler) netip.AddrPort {
 	s := httptest.NewServer(h)
 	c.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// put stores an object of the fleet in a catalog.
-func put(c *qt.C, cat *catalog.Catalog, version objects.Position, kind, name string, value any) {
+// putObject applies one object of the fleet to a catalog.
+func putObject(c *qt.C, cat *catalog.Catalog, version objects.Position, kind, name string, value any) {
 	if spec, ok := value.(resource.Spec); ok {
 		value = resource.Resource{Kind: resource.Kind(kind), Name: name, Generation: int64(version), Spec: spec}
 	}
@@ -59,7 +59,7 @@
 	cat.Apply(objects.Changes{Revision: version, Objects: []objects.Object{{Kind: kind, Name: name, Version: version, Value: raw}}})
 }
 
-// twoEngines is a relay before two engines whose owner is another box.
+// twoEngines is a relay with two engines that are owned by another box.
 type twoEngines struct {
 	c       *qt.C
 	catalog *catalog.Catalog
@@ -68,12 +68,13 @@
 	arrived [2]atomic.Int64
 }
 
-// startTwoEngines starts the engines, and their owner with an answer to those who ask for a grant.
-func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, ask *grant.Ask), ended func(body string)) *twoEngines {
+// startTwoEngines starts the engines, and their owner, which calls answer for each request for a grant and onEnd for
+// each report of ended grants.
+func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, ask *grant.Ask), onEnd func(body string)) *twoEngines {
 	w := &twoEngines{c: c, catalog: catalog.New(), engines: map[string]*resource.Endpoint{}}
 	owners := coordinator.Map{Cell: "c", Generation: 1}
 	for i := range w.arrived {
-		address := servedAddress(c, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+		address := startServer(c, http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 			w.arrived[i].Add(1)
 			rw.Header().Set("Content-Type", "text/event-stream")
 			_, _ = rw.Write([]byte("data: x\n\n"))
@@ -82,20 +83,20 @@
 		w.engines[name] = &resource.Endpoint{Service: "s", Address: address, Zone: "z", Slots: 4, BaseModel: "base"}
 		owners.Owners = append(owners.Owners, coordinator.Ownership{Engine: name, Owner: "far", Epoch: 1})
 	}
-	far := http.NewServeMux()
-	far.HandleFunc("POST /peer/end", func(rw http.ResponseWriter, r *http.Request) {
+	ownerPeer := http.NewServeMux()
+	ownerPeer.HandleFunc("POST /peer/end", func(rw http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		c.Check(err, qt.IsNil)
-		ended(string(body))
+		onEnd(string(body))
 		rw.WriteHeader(http.StatusNoContent)
 	})
-	far.HandleFunc("POST /peer/acquire", func(rw http.ResponseWriter, r *http.Request) {
+	ownerPeer.HandleFunc("POST /peer/acquire", func(rw http.ResponseWriter, r *http.Request) {
 		var ask grant.Ask
 		c.Check(json.NewDecoder(r.Body).Decode(&ask), qt.IsNil)
 		answer(w, rw, &ask)
 	})
-	owners.Members = []coordinator.Member{{Box: "far", Zone: "z", Peer: servedAddress(c, far)}}
-	put(c, w.catalog, 1, string(resource.KindRouting), catalog.RoutingName, &resource.Routing{
+	owners.Members = []coordinator.Member{{Box: "far", Zone: "z", Peer: startServer(c, ownerPeer)}}
+	putObject(c, w.catalog, 1, string(resource.KindRouting), catalog.RoutingName, &resource.Routing{
 		Version: 1, Services: []resource.RouteService{{Name: "s", Engine: &resource.EngineClass{Batch: 4, KVTokens: 1000, AdapterSlots: 4, WeightsMB: 100}}},
 		Routes: []resource.Route{{
 			Name: "r", Host: "h", Prefix: "/", Kind: resource.RouteStream, Attempts: 2, Timeout: resource.Duration(5 * time.Second),
@@ -103,94 +104,102 @@
 		}},
 	})
 	for name, e := range w.engines {
-		put(c, w.catalog, 10, string(resource.KindEndpoint), name, e)
+		putObject(c, w.catalog, 10, string(resource.KindEndpoint), name, e)
 	}
-	put(c, w.catalog, 1, coordinator.MapKind, "c", owners)
+	putObject(c, w.catalog, 1, coordinator.MapKind, "c", owners)
 	w.relay = New(Config{
 		Box: "near", Zone: "z", Catalog: w.catalog, Owners: owner.NewSet(owner.SetConfig{}), Wire: plainWire{}, Scope: tally.NoopScope,
 		Grants:    grant.NewClient(grant.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(2)}, Scope: tally.NoopScope}),
 		Endpoints: &http.Client{Transport: httpx.NewTransport(2)}, Budget: BudgetConfig{Allowance: 10, Boxes: func() int { return 1 }},
 		Leaving: func() time.Duration { return 0 }, StoreAge: func() time.Duration { return 0 },
 		Quarantine: quarantine.NewClient(quarantine.ClientConfig{
-			Register: quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: 3, Hold: time.Minute}), Fleet: alone{}, Scope: tally.NoopScope,
+			Register: quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: 3, Hold: time.Minute}), Fleet: soleBoxFleet{}, Scope: tally.NoopScope,
 		}),
 	})
 	return w
 }
 
-// alone is the fleet of a box without others.
-type alone struct{}
+// soleBoxFleet is a fleet that consists of a single box.
+type soleBoxFleet struct{}
 
-func (alone) Keepers(quarantine.Fingerprint) (others []netip.AddrPort, here bool) { return nil, true }
-func (alone) Others() []netip.AddrPort                                            { return nil }
-func (alone) Coordinator() (netip.AddrPort, bool)                                 { return netip.AddrPort{}, false }
+func (soleBoxFleet) Keepers(quarantine.Fingerprint) (others []netip.AddrPort, here bool) {
+	return nil, true
+}
+
+func (soleBoxFleet) Others() []netip.AddrPort { return nil }
+
+func (soleBoxFleet) Coordinator() (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
-func (alone) Published() (all []quarantine.Held, changed bool) { return nil, false }
+func (soleBoxFleet) Published() (all []quarantine.Held, changed bool) { return nil, false }
 
-// call sends one request through the relay and returns its answer.
-func (w *twoEngines) call() *httptest.ResponseRecorder {
-	in := httptest.NewRequest(http.MethodPost, "http://h/x", strings.NewReader("prompt"))
-	in.Header.Set("Id", "id")
-	out := httptest.NewRecorder()
-	w.relay.ServeHTTP(out, in)
-	return out
+// sendRequest sends one request through the relay and returns the answer.
+func (w *twoEngines) sendRequest() *httptest.ResponseRecorder {
+	req := httptest.NewRequest(http.MethodPost, "http://h/x", strings.NewReader("prompt"))
+	req.Header.Set("Id", "id")
+	recorder := httptest.NewRecorder()
+	w.relay.ServeHTTP(recorder, req)
+	return recorder
 }
 
-// checkOnlyOther checks that nothing reached one of the engines and one request the other.
-func (w *twoEngines) checkOnlyOther(engine int64) {
-	w.c.Assert(engine >= 0, qt.IsTrue)
-	w.c.Check(w.arrived[engine].Load(), qt.Equals, int64(0))
-	w.c.Check(w.arrived[1-engine].Load(), qt.Equals, int64(1))
+// checkOnlyOtherReached checks that no request reached the engine untouched and that one request reached the other
+// engine.
+func (w *twoEngines) checkOnlyOtherReached(untouched int64) {
+	w.c.Assert(untouched >= 0, qt.IsTrue)
+	w.c.Check(w.arrived[untouched].Load(), qt.Equals, int64(0))
+	w.c.Check(w.arrived[1-untouched].Load(), qt.Equals, int64(1))
 }
 
-// TestNothingIsSentToAnEngineThatBeganToLeave: the grant of the first engine asked comes when the engine has begun to leave.
-func TestNothingIsSentToAnEngineThatBeganToLeave(t *testing.T) {
+// TestNoRequestIsSentToEngineThatStartedLeaving guards against using a grant that arrives after its engine has
+// started to leave.
+func TestNoRequestIsSentToEngineThatStartedLeaving(t *testing.T) {
 	c := qt.New(t)
-	var left atomic.Int64
-	left.Store(-1)
+	var leavingEngine atomic.Int64
+	leavingEngine.Store(-1)
 	w := startTwoEngines(c, func(w *twoEngines, rw http.ResponseWriter, ask *grant.Ask) {
-		if left.CompareAndSwap(-1, int64(ask.Engine[1]-'0')) {
+		if leavingEngine.CompareAndSwap(-1, int64(ask.Engine[1]-'0')) {
 			leaving := *w.engines[ask.Engine]
 			leaving.Leaving = true
-			put(c, w.catalog, 11, string(resource.KindEndpoint), ask.Engine, &leaving)
+			putObject(c, w.catalog, 11, string(resource.KindEndpoint), ask.Engine, &leaving)
 		}
 		httpx.WriteJSON(rw, http.StatusOK, map[string]any{"id": 1})
 	}, func(string) {})
-	out := w.call()
-	c.Check(out.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", out.Body))
-	w.checkOnlyOther(left.Load())
+	answer := w.sendRequest()
+	c.Check(answer.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", answer.Body))
+	w.checkOnlyOtherReached(leavingEngine.Load())
 }
 
-// TestRequestGoesOnWhenItsEngineCannotTakeIt: both engines offer to load the adapter; the load of the one chosen fails.
-func TestRequestGoesOnWhenItsEngineCannotTakeIt(t *testing.T) {
+// TestRequestTriesNextEngineWhenAdapterLoadFails guards against failing a request when another engine can serve it.
+// Both engines offer to load the adapter, and the load at the chosen engine fails.
+func TestRequestTriesNextEngineWhenAdapterLoadFails(t *testing.T) {
 	c := qt.New(t)
-	var failed atomic.Int64
-	failed.Store(-1)
+	var failedEngine atomic.Int64
+	failedEngine.Store(-1)
 	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, ask *grant.Ask) {
 		switch {
 		case ask.Near:
 			offer := result.New(result.TryNext, "")
 			offer.RetryAfter = 300 * time.Millisecond
 			offer.Write(rw, "")
-		case failed.CompareAndSwap(-1, int64(ask.Engine[1]-'0')):
+		case failedEngine.CompareAndSwap(-1, int64(ask.Engine[1]-'0')):
 			result.New(result.LoadFailed, "").Write(rw, "")
 		default:
 			httpx.WriteJSON(rw, http.StatusOK, map[string]any{"id": 1})
 		}
 	}, func(string) {})
-	out := w.call()
-	c.Check(out.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", out.Body))
-	w.checkOnlyOther(failed.Load())
+	answer := w.sendRequest()
+	c.Check(answer.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", answer.Body))
+	w.checkOnlyOtherReached(failedEngine.Load())
 }
 
-// TestCrashedEngineCostsNoRepeat: the pattern is a sixth of the engines crashing at once. Nothing listens at the first engine that is granted, and the
-// budget of repeats is used up: the request has arrived nowhere, so it goes on, and the owner hears why.
-func TestCrashedEngineCostsNoRepeat(t *testing.T) {
+// TestCrashedEngineDoesNotSpendRetryBudget guards against failed requests when many engines crash at once, for
+// example a sixth of them. Nothing listens at the first granted engine, and the retry budget is used up. Because the
+// request has not arrived anywhere, it must go to the next engine, and the owner must be notified of the reason.
+func TestCrashedEngineDoesNotSpendRetryBudget(t *testing.T) {
 	c := qt.New(t)
-	told := make(chan string, 4)
+	endReports := make(chan string, 4)
 	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, _ *grant.Ask) {
 		httpx.WriteJSON(rw, http.StatusOK, map[string]any{"id": 1})
-	}, func(body string) { told <- body })
+	}, func(body string) { endReports <- body })
 	closed := httptest.NewServer(nil)
 	address := netip.MustParseAddrPort(strings.TrimPrefix(closed.URL, "http://"))
 	closed.Close()
@@ -198,21 +207,21 @@
 		if placement.Rank("base.a@1", []string{"e0", "e1"})[0] == name {
 			crashed := *w.engines[name]
 			crashed.Address = address
-			put(c, w.catalog, 11, string(resource.KindEndpoint), name, &crashed)
+			putObject(c, w.catalog, 11, string(resource.KindEndpoint), name, &crashed)
 		}
 	}
 	w.relay.budgets = newBudgets(BudgetConfig{Boxes: func() int { return 1 << 20 }})
 	w.relay.budgets.earn("s")
 	for w.relay.budgets.spend("s") {
-		c.Logf("repeats used up")
+		c.Logf("took one retry from the budget")
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
 	group.Go(func() error { return w.relay.cfg.Grants.Serve(ctx) })
-	out := w.call()
-	c.Check(out.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", out.Body))
+	answer := w.sendRequest()
+	c.Check(answer.Code, qt.Equals, http.StatusOK, qt.Commentf("%s", answer.Body))
 	c.Check(w.arrived[0].Load()+w.arrived[1].Load(), qt.Equals, int64(1))
-	c.Check(<-told, qt.Contains, fmt.Sprintf(`"end":%d`, owner.EndNotListening))
+	c.Check(<-endReports, qt.Contains, fmt.Sprintf(`"end":%d`, owner.EndNotListening))
 	cancel()
 	c.Check(group.Wait(), qt.ErrorIs, context.Canceled)
 }
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// failureHalfLife is the time in which the weight of a past failure halves.
+	// failureHalfLife is the time after which a past failure counts only half.
 	failureHalfLife = 2 * time.Second
-	// avoidFrom is the weight of failures from which an endpoint is chosen last: two in short order.
-	avoidFrom = 1.5
-	// suspectFor is how long a box that did not answer is not asked.
-	suspectFor = time.Second
-	// maxRemembered bounds the endpoints and boxes remembered.
-	maxRemembered = 4096
+	// avoidThreshold is the decayed count of failures from which an endpoint is chosen last. Two failures in quick
+	// succession reach it.
+	avoidThreshold = 1.5
+	// silentBoxTTL is how long a box that did not answer is not asked again.
+	silentBoxTTL = time.Second
+	// maxTrackedEndpoints bounds the endpoints that are tracked.
+	maxTrackedEndpoints = 4096
 )
 
-// health judges endpoints by what requests met there, and counts the requests of this box in flight on each.
+// health tracks the recent failures of each endpoint and the requests that this box has in flight there.
 type health struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpointHealth
@@ -25,18 +26,18 @@
 
 type endpointHealth struct {
 	inFlight int
-	// failures is a decayed count as of at.
-	failures float64
-	at       time.Time
+	// failures is the decayed count of failures at the time failuresAt.
+	failures   float64
+	failuresAt time.Time
 }
 
 func newHealth() *health { return &health{endpoints: map[string]*endpointHealth{}} }
 
-func (h *health) get(name string) *endpointHealth {
+func (h *health) getOrAdd(name string) *endpointHealth {
 	e := h.endpoints[name]
 	if e == nil {
-		if len(h.endpoints) >= maxRemembered {
-			h.forget()
+		if len(h.endpoints) >= maxTrackedEndpoints {
+			h.dropIdle()
 		}
 		e = &endpointHealth{}
 		h.endpoints[name] = e
@@ -44,8 +45,8 @@
 	return e
 }
 
-// forget drops endpoints without requests.
-func (h *health) forget() {
+// dropIdle removes the endpoints that have no requests in flight.
+func (h *health) dropIdle() {
 	for name, e := range h.endpoints {
 		if e.inFlight == 0 {
 			delete(h.endpoints, name)
@@ -53,26 +54,27 @@
 	}
 }
 
-// begin counts a request to an endpoint in.
+// begin counts a request that is sent to an endpoint.
 func (h *health) begin(name string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.get(name).inFlight++
+	h.getOrAdd(name).inFlight++
 }
 
-// end counts a request out; failed says that it met a fault of the endpoint.
+// end counts a request as no longer in flight. failed is set if the endpoint was at fault.
 func (h *health) end(name string, now time.Time, failed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	e := h.get(name)
+	e := h.getOrAdd(name)
 	e.inFlight--
 	if failed {
-		e.failures = e.weight(now) + 1
-		e.at = now
+		e.failures = e.decayedFailures(now) + 1
+		e.failuresAt = now
 	}
 }
 
-// load returns the requests of this box in flight on an endpoint and the weight of its failures.
+// load returns the number of requests that this box has in flight at an endpoint, and the decayed count of its
+// failures.
 func (h *health) load(name string, now time.Time) (inFlight int, failures float64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -80,12 +82,12 @@
 	if !ok {
 		return 0, 0
 	}
-	return e.inFlight, e.weight(now)
+	return e.inFlight, e.decayedFailures(now)
 }
 
-func (e *endpointHealth) weight(now time.Time) float64 {
+func (e *endpointHealth) decayedFailures(now time.Time) float64 {
 	if e.failures == 0 {
 		return 0
 	}
-	return e.failures * math.Exp2(-float64(now.Sub(e.at))/float64(failureHalfLife))
+	return e.failures * math.Exp2(-float64(now.Sub(e.failuresAt))/float64(failureHalfLife))
 }
--- a/internal/relay/identify.go
+++ b/internal/relay/identify.go
@@ -8,68 +8,76 @@
 	"github.com/bellgap/bellgap/internal/route"
 )
 
-// AgesConfig bounds how old this box's word on the configuration may be for what it decides by it.
+// AgesConfig limits the age of the configuration on which a box may base its decisions.
 type AgesConfig struct {
-	// ConfirmedAt returns the moment as of which the configuration is known here, zero if it is not.
+	// ConfirmedAt returns the time up to which this box's configuration is known to be current, zero if it has none.
 	ConfirmedAt func() time.Time
-	// Keys bounds it for requests that run by a key, which may have been taken away meanwhile; zero runs them however old it is.
+	// Keys is the maximum age for requests that need a key, which may have been revoked since. Zero sets no limit.
 	Keys time.Duration
-	// Unknown bounds it for answers that say that a route or key is unknown, which may have been added meanwhile; zero gives them always.
+	// Unknown is the maximum age for answers that a route or key is unknown, since it may have been added. Zero sets no
+	// limit.
 	Unknown time.Duration
 }
 
-// oldRetry is when a caller may come back whom this box can tell nothing certain: a lost store is asked again within that time.
-const oldRetry = 500 * time.Millisecond
+// staleRetryAfter is the retry delay for callers that get no definite answer because the configuration is too old.
+// Within this time the box contacts a lost store again.
+const staleRetryAfter = 500 * time.Millisecond
 
-// ageFor returns how old the configuration known here was when the request came. A request that came in time may go on however long it waits.
-func (r *Relay) ageFor(q *request) time.Duration {
+// configAge returns how old the configuration was when the request arrived. The time that a request waits afterwards
+// does not count.
+func (r *Relay) configAge(q *request) time.Duration {
 	at := r.cfg.Ages.ConfirmedAt()
 	if at.IsZero() {
 		return time.Duration(1<<63 - 1)
 	}
-	return q.came.Sub(at)
+	return q.receivedAt.Sub(at)
 }
 
-// unknown returns what says that something is unknown, unless it may only be so here.
-func (r *Relay) unknown(q *request, rerr *result.Error) *result.Error {
-	if r.cfg.Ages.Unknown == 0 || r.ageFor(q) <= r.cfg.Ages.Unknown {
+// refuseUnknown returns rerr, which states that a route or key is unknown. If the configuration is too old to be
+// sure, it returns an error that states this instead.
+func (r *Relay) refuseUnknown(q *request, rerr *result.Error) *result.Error {
+	if r.cfg.Ages.Unknown == 0 || r.configAge(q) <= r.cfg.Ages.Unknown {
 		return rerr
 	}
-	return r.old(q, rerr.Detail)
+	return r.staleConfigError(q, rerr.Detail)
 }
 
-func (r *Relay) old(q *request, detail string) *result.Error {
-	rerr := result.New(result.ConfigOld, "%s: known as of %s before the request", detail, r.ageFor(q).Round(time.Millisecond))
-	rerr.RetryAfter = oldRetry
+// staleConfigError returns the error for a decision that needs a newer configuration.
+func (r *Relay) staleConfigError(q *request, detail string) *result.Error {
+	rerr := result.New(result.ConfigOld, "%s: configuration confirmed %s before the request", detail, r.configAge(q).Round(time.Millisecond))
+	rerr.RetryAfter = staleRetryAfter
 	return rerr
 }
 
-// identify finds whose request it is, and refuses it if its key is not known or may have been taken away.
-func (r *Relay) identify(q *request, table *route.Table) *result.Error {
+// identifyCustomer finds the customer of a request. It refuses the request if its key is unknown or may have been
+// revoked.
+func (r *Relay) identifyCustomer(q *request, table *route.Table) *result.Error {
 	if !table.Keyed() || q.route.Open {
 		return nil
 	}
 	if q.head.Key != "" {
-		q.digest = customer.DigestOf(q.head.Key)
+		q.keyDigest = customer.DigestOf(q.head.Key)
 	}
 	return r.checkKey(q, table)
 }
 
-// checkKey finds the customer that has the request's key by the configuration in force.
+// checkKey finds the customer of the request's key in the given configuration. It refuses the request if there is
+// none.
 func (r *Relay) checkKey(q *request, table *route.Table) *result.Error {
-	who, ok := table.Customers().ByDigest(q.digest)
+	found, ok := table.Customers().ByDigest(q.keyDigest)
 	if !ok {
-		return r.unknown(q, result.New(result.Unauthorized, "no customer has this key"))
+		return r.refuseUnknown(q, result.New(result.Unauthorized, "no customer has this key"))
 	}
-	q.customer = who
-	if r.cfg.Ages.Keys > 0 && r.ageFor(q) > r.cfg.Ages.Keys {
-		return r.old(q, "keys")
+	q.customer = found
+	if r.cfg.Ages.Keys > 0 && r.configAge(q) > r.cfg.Ages.Keys {
+		return r.staleConfigError(q, "keys")
 	}
 	return nil
 }
 
-// stillAllowed looks at a request's key again before it is sent anywhere: it may have been taken away, or be another customer's, since.
-func (r *Relay) stillAllowed(q *request) *result.Error {
+// recheckKey checks the key of a request again before the request is sent. Since the first check, the key may have
+// been revoked or given to another customer.
+func (r *Relay) recheckKey(q *request) *result.Error {
 	if q.customer == nil {
 		return nil
 	}
@@ -84,28 +92,29 @@
 	return q.customer.Name
 }
 
-// rank returns the rank of the request: its customer's if that has one, else the route's.
+// rank returns the priority of the request, 0 first: that of its customer if there is one, otherwise that of the
+// route.
 func (q *request) rank() int { return q.customer.Rank(q.route.Priority) }
 
-// urgency returns the rank as owners and keepers count, higher first.
-func (q *request) urgency() int { return urgencies - q.rank() }
+// urgency returns the priority of the request as owners and keepers count it: the highest goes first.
+func (q *request) urgency() int { return urgencyBase - q.rank() }
 
-// takeUnits takes what the request counts from its customer's quota.
-func (r *Relay) takeUnits(q *request) *result.Error {
+// chargeUnits charges the units of a request to the quota of its customer.
+func (r *Relay) chargeUnits(q *request) *result.Error {
 	if q.customer == nil {
 		return nil
 	}
 	units := q.customer.Quota.Cost(q.head.Prompt+q.head.Output, q.head.Counted)
-	if rerr := r.cfg.Quotas.Take(q.in.Context(), q.customer, units); rerr != nil {
+	if rerr := r.cfg.Quotas.Take(q.incoming.Context(), q.customer, units); rerr != nil {
 		return rerr
 	}
-	q.charged, q.units = q.customer, units
+	q.chargedCustomer, q.chargedUnits = q.customer, units
 	return nil
 }
 
-// giveUnitsBack returns what a request took that provably never ran.
-func (r *Relay) giveUnitsBack(q *request) {
-	if q.units > 0 && q.sent == 0 {
-		r.cfg.Quotas.GiveBack(q.charged, q.units)
+// refundUnits returns the charged units of a request that certainly never ran.
+func (r *Relay) refundUnits(q *request) {
+	if q.chargedUnits > 0 && q.possibleRuns == 0 {
+		r.cfg.Quotas.GiveBack(q.chargedCustomer, q.chargedUnits)
 	}
 }
--- a/internal/relay/identify_test.go
+++ b/internal/relay/identify_test.go
@@ -12,8 +12,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// keyed returns a routing configuration in which customers have keys.
-func keyed(keys map[string]string) *resource.Routing {
+// keyedRouting returns a routing configuration in which customers have keys. The map gives the customer of each key.
+func keyedRouting(keys map[string]string) *resource.Routing {
 	r := &resource.Routing{Version: 1, Keyed: true, Routes: []resource.Route{
 		{Name: "r", Host: "h", Prefix: "/", Kind: resource.RouteOnce, Attempts: 1, Timeout: resource.Duration(time.Second), Targets: []resource.Target{{Service: "s", Weight: 1}}},
 	}}
@@ -23,42 +23,42 @@
 	return r
 }
 
-// TestAgeOfTheConfiguration asks with a key that is known and one that is not, by words on the configuration of several ages.
-func TestAgeOfTheConfiguration(t *testing.T) {
+// TestConfigurationAgeLimits sends known and unknown keys while the configuration has different ages.
+func TestConfigurationAgeLimits(t *testing.T) {
 	const keysFor, unknownFor = 5 * time.Second, 3 * time.Second
 	now := time.Now()
 	for _, test := range []struct {
 		name string
-		// confirmed is how long before the request the word was confirmed, negative if after it.
-		confirmed time.Duration
-		never     bool
-		key       string
-		want      result.Code
+		// confirmedBefore is how long before the request the configuration was confirmed, negative if after it.
+		confirmedBefore time.Duration
+		neverConfirmed  bool
+		key             string
+		want            result.Code
 	}{
-		{name: "fresh", confirmed: time.Second, key: "k1", want: result.OK},
-		{name: "as old as may be", confirmed: keysFor, key: "k1", want: result.OK},
-		{name: "older", confirmed: keysFor + time.Millisecond, key: "k1", want: result.ConfigOld},
-		{name: "newer word came while the request waited", confirmed: -time.Second, key: "k1", want: result.OK},
-		{name: "no word", never: true, key: "k1", want: result.ConfigOld},
-		{name: "unknown, fresh", confirmed: time.Second, key: "k2", want: result.Unauthorized},
-		{name: "unknown, and it may have been added", confirmed: unknownFor + time.Millisecond, key: "k2", want: result.ConfigOld},
-		{name: "unknown, no word", never: true, key: "k2", want: result.ConfigOld},
-		{name: "no key", confirmed: time.Second, want: result.Unauthorized},
+		{name: "fresh", confirmedBefore: time.Second, key: "k1", want: result.OK},
+		{name: "as old as allowed", confirmedBefore: keysFor, key: "k1", want: result.OK},
+		{name: "older", confirmedBefore: keysFor + time.Millisecond, key: "k1", want: result.ConfigOld},
+		{name: "configuration confirmed while the request waited", confirmedBefore: -time.Second, key: "k1", want: result.OK},
+		{name: "configuration never confirmed", neverConfirmed: true, key: "k1", want: result.ConfigOld},
+		{name: "unknown key, fresh configuration", confirmedBefore: time.Second, key: "k2", want: result.Unauthorized},
+		{name: "unknown key that may have been added since", confirmedBefore: unknownFor + time.Millisecond, key: "k2", want: result.ConfigOld},
+		{name: "unknown key, configuration never confirmed", neverConfirmed: true, key: "k2", want: result.ConfigOld},
+		{name: "no key", confirmedBefore: time.Second, want: result.Unauthorized},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			cat := catalog.New()
-			put(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyed(map[string]string{"k1": "mill"}))
+			putObject(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyedRouting(map[string]string{"k1": "mill"}))
 			r := New(Config{Catalog: cat, Ages: AgesConfig{Keys: keysFor, Unknown: unknownFor, ConfirmedAt: func() time.Time {
-				if test.never {
+				if test.neverConfirmed {
 					return time.Time{}
 				}
-				return now.Add(-test.confirmed)
+				return now.Add(-test.confirmedBefore)
 			}}})
 			table := cat.Topology().Routes
 			route, _ := table.Lookup("h", "/x")
-			q := &request{came: now, route: route, head: Head{Key: test.key}}
-			rerr := r.identify(q, table)
+			q := &request{receivedAt: now, route: route, head: Head{Key: test.key}}
+			rerr := r.identifyCustomer(q, table)
 			if test.want == result.OK {
 				c.Assert(rerr == nil, qt.IsTrue, qt.Commentf("%v", rerr))
 				c.Check(q.customerName(), qt.Equals, "mill")
@@ -71,35 +71,36 @@
 	}
 }
 
-// TestKeyIsLookedAtAgain: while a request waits its key is taken away, moves to another customer, or stays.
-func TestKeyIsLookedAtAgain(t *testing.T) {
+// TestKeyIsRecheckedBeforeSending guards against running a request for a customer that no longer has the key. While
+// the request waits, its key is revoked, moves to another customer, or stays.
+func TestKeyIsRecheckedBeforeSending(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		now  map[string]string
-		who  string
+		name          string
+		keysAfter     map[string]string
+		customerAfter string
 	}{
-		{"taken away", map[string]string{"k3": "mill"}, ""},
+		{"key revoked", map[string]string{"k3": "mill"}, ""},
 		{"moved", map[string]string{"k1": "yard"}, "yard"},
 		{"stays", map[string]string{"k1": "mill", "k2": "yard"}, "mill"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			cat := catalog.New()
-			put(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyed(map[string]string{"k1": "mill"}))
+			putObject(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyedRouting(map[string]string{"k1": "mill"}))
 			r := New(Config{Catalog: cat, Ages: AgesConfig{ConfirmedAt: time.Now}})
 			table := cat.Topology().Routes
 			route, _ := table.Lookup("h", "/x")
-			q := &request{came: time.Now(), route: route, head: Head{Key: "k1"}}
-			c.Assert(r.identify(q, table) == nil, qt.IsTrue)
-			put(c, cat, 2, string(resource.KindRouting), catalog.RoutingName, keyed(test.now))
-			rerr := r.stillAllowed(q)
-			if test.who == "" {
+			q := &request{receivedAt: time.Now(), route: route, head: Head{Key: "k1"}}
+			c.Assert(r.identifyCustomer(q, table) == nil, qt.IsTrue)
+			putObject(c, cat, 2, string(resource.KindRouting), catalog.RoutingName, keyedRouting(test.keysAfter))
+			rerr := r.recheckKey(q)
+			if test.customerAfter == "" {
 				c.Assert(rerr, qt.IsNotNil)
 				c.Check(rerr.Code, qt.Equals, result.Unauthorized)
 				return
 			}
 			c.Assert(rerr == nil, qt.IsTrue, qt.Commentf("%v", rerr))
-			c.Check(q.customerName(), qt.Equals, test.who)
+			c.Check(q.customerName(), qt.Equals, test.customerAfter)
 		})
 	}
 }
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -19,19 +19,22 @@
 const (
 	// firstVersion is the version of an adapter that has never been replaced.
 	firstVersion = 1
-	// startWithin is how many times its objective a request may wait for its start: with more, those that come late take the place of
-	// those that could be in time; with less, more are refused than that gains.
-	startWithin = 1.5
-	// holdSlack is added to what is left of a request when its grant's life is set.
-	holdSlack = time.Second
-	// stallFirst is how many objectives, and stallAfter how long between two events, a resumable stream may be silent before
-	// it is taken up elsewhere; callers hang up after two seconds at the earliest.
-	stallFirst = 2
-	stallAfter = time.Second
+	// maxStartObjectives is how many objectives a request may wait for its start. With a higher value, late requests
+	// take the place of requests that could still be in time. With a lower one, more requests are refused than are
+	// gained in time.
+	maxStartObjectives = 1.5
+	// grantSlack is added to the time that a request has left to get the lifetime of its grant.
+	grantSlack = time.Second
+	// firstEventObjectives is how many objectives a resumable stream may take until its first event. eventTimeout is the
+	// longest time between two events. After that, the stream is resumed at another engine. Callers hang up after two
+	// seconds at the earliest.
+	firstEventObjectives = 2
+	eventTimeout         = time.Second
 )
 
-// refOf returns the adapter version that a request has to be answered by, in the newest version known here.
-func (r *Relay) refOf(q *request) (resource.Ref, int64) {
+// latestRef returns the adapter version that must answer a request, as a reference and as a number. It is the newest
+// version that this box knows.
+func (r *Relay) latestRef(q *request) (resource.Ref, int64) {
 	if q.head.Adapter == "" {
 		return resource.Ref{}, 0
 	}
@@ -43,131 +46,134 @@
 	return resource.Ref{Adapter: name, Version: strconv.FormatInt(version, 10)}, version
 }
 
-// AdapterName returns the fleet-wide name of an adapter of a base model.
+// AdapterName returns the name that identifies an adapter of a base model in the whole fleet.
 func AdapterName(model, adapter string) string { return model + "." + adapter }
 
 // serveModel answers a request from an engine that holds its adapter version.
 func (r *Relay) serveModel(ctx context.Context, out *output, q *request) *result.Error {
-	return r.notBeforeRest(q, r.tryEngines(ctx, out, q))
+	return r.delayRetryUntilRestEnds(q, r.tryEngines(ctx, out, q))
 }
 
-// tryEngines sends a request to one engine after the other until one has answered it.
+// tryEngines sends a request to one engine after another until one of them has answered it.
 func (r *Relay) tryEngines(ctx context.Context, out *output, q *request) *result.Error {
 	avoid := map[string]bool{}
 	lastEvent := q.head.LastEvent
-	var last *result.Error
-	for q.maySend() {
-		if rerr := r.held(q); rerr != nil {
+	var lastErr *result.Error
+	for q.canSend() {
+		if rerr := r.checkQuarantine(q); rerr != nil {
 			return rerr
 		}
-		if q.arrivals > 0 && !r.mayRepeat(q, last) {
+		if q.arrivals > 0 && !r.spendRetry(q, lastErr) {
 			break
 		}
-		// Looked up each time: a newer version may have been named meanwhile.
-		ref, version := r.refOf(q)
+		// The version is looked up for each try, because a newer one may have been published since.
+		ref, version := r.latestRef(q)
 		q.ref = ref.String()
-		c, rerr := r.choose(ctx, q, ref, avoid)
+		c, rerr := r.chooseEngine(ctx, q, ref, avoid)
 		if rerr != nil {
-			if last == nil {
-				last = rerr
+			if lastErr == nil {
+				lastErr = rerr
 			}
 			break
 		}
-		if r.hasLeft(q.service, c.name) {
-			// The grant was waited for; until it came the engine may have begun to leave.
-			c.end(owner.EndWhole)
+		if r.isLeavingOrGone(q.service, c.name) {
+			// The engine may have started to leave while the request waited for the grant.
+			c.release(owner.EndWhole)
 			avoid[c.name] = true
 			continue
 		}
-		lastEvent, rerr = r.runOn(ctx, out, q, c, Attempt{Version: version, LastEvent: lastEvent})
-		r.settle(ctx, q, c.destination(), rerr)
-		r.remember(ref, c.name, rerr)
+		lastEvent, rerr = r.sendToEngine(ctx, out, q, c, Attempt{Version: version, LastEvent: lastEvent})
+		r.reportOutcome(ctx, q, c.destination(), rerr)
+		r.recordHolding(ref, c.name, rerr)
 		if rerr == nil {
 			return nil
 		}
 		avoid[c.name] = rerr.Code != result.NotHeld
-		last = rerr
+		lastErr = rerr
 		if out.started && !q.route.Idempotent() {
 			break
 		}
-		if !r.elsewhere(q, rerr) {
+		if !r.canTryNext(q, rerr) {
 			break
 		}
 	}
-	return last
+	return lastErr
 }
 
-// hasLeft reports whether an endpoint is gone or gets no new work, as this box knows now.
-func (r *Relay) hasLeft(service, endpoint string) bool {
+// isLeavingOrGone reports whether an endpoint is gone or receives no new requests, according to this box's catalog.
+func (r *Relay) isLeavingOrGone(service, endpoint string) bool {
 	all := r.cfg.Catalog.Topology().Endpoints[service]
 	i := slices.IndexFunc(all, func(e catalog.EndpointView) bool { return e.Name == endpoint })
 	return i < 0 || all[i].Spec.Leaving
 }
 
-// remember notes what the end of a request says of its engine's holdings.
-func (r *Relay) remember(ref resource.Ref, engine string, rerr *result.Error) {
+// recordHolding records whether an engine holds an adapter version, according to the result of a request.
+func (r *Relay) recordHolding(ref resource.Ref, engine string, rerr *result.Error) {
 	switch {
 	case rerr == nil:
-		r.memory.answered(ref, engine, clock.Now())
+		r.holdings.add(ref, engine, clock.Now())
 	case rerr.Code == result.NotHeld:
-		r.memory.lacks(ref, engine)
+		r.holdings.remove(ref, engine)
 	}
 }
 
-// runOn sends a request to the chosen engine and passes its answer on. It returns the id of the last event passed on.
-func (r *Relay) runOn(ctx context.Context, out *output, q *request, c *chosen, a Attempt) (string, *result.Error) {
+// sendToEngine sends a request to the chosen engine and forwards the answer. It returns the id of the last forwarded
+// event.
+func (r *Relay) sendToEngine(ctx context.Context, out *output, q *request, c *chosenEngine, a Attempt) (string, *result.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := r.watchStall(q, cancel)
+	watch := r.startStallWatch(q, cancel)
 	defer watch.stop()
 	r.health.begin(c.name)
 	resp, rerr := r.exchange(ctx, q, c.destination(), a)
 	if rerr != nil {
-		rerr = watch.blame(rerr)
+		rerr = watch.stallError(rerr)
 		if rerr.Code.Info().Ran != result.RanNo {
-			q.sent++
+			q.possibleRuns++
 		}
-		r.health.end(c.name, clock.Now(), isFault(rerr))
-		c.end(endOf(rerr))
+		r.health.end(c.name, clock.Now(), isEndpointFault(rerr))
+		c.release(grantEnd(rerr))
 		return a.LastEvent, rerr
 	}
 	defer func() { _ = resp.Body.Close() }()
-	q.sent++
-	last := a.LastEvent
+	q.possibleRuns++
+	lastEvent := a.LastEvent
 	if resp.StatusCode != http.StatusOK || q.route.Kind != resource.RouteStream {
-		rerr = r.passOther(out, q, resp)
+		rerr = r.forwardNonStream(out, q, resp)
 	} else {
-		out.beat = beats(c, watch)
-		last, rerr = out.copyEvents(r.cfg.Wire, resp, a.LastEvent)
-		rerr = watch.blame(rerr)
+		out.onEvent = newEventCallback(c, watch)
+		lastEvent, rerr = out.copyEvents(r.cfg.Wire, resp, a.LastEvent)
+		rerr = watch.stallError(rerr)
 	}
 	r.health.end(c.name, clock.Now(), resp.StatusCode >= http.StatusInternalServerError || (rerr != nil && rerr.Code == result.StreamCut))
-	c.end(endOf(rerr))
-	return last, rerr
+	c.release(grantEnd(rerr))
+	return lastEvent, rerr
 }
 
-// beats returns what is called for each event: the first one tells the owner that the prompt has been read.
-func beats(c *chosen, watch *stallWatch) func() {
-	first := sync.OnceFunc(c.read)
+// newEventCallback returns the function to call for each event. Its first call notifies the owner that the engine has
+// read the prompt.
+func newEventCallback(c *chosenEngine, watch *stallWatch) func() {
+	reportOnce := sync.OnceFunc(c.reportFirstToken)
 	return func() {
-		first()
-		watch.beat()
+		reportOnce()
+		watch.resetTimer()
 	}
 }
 
-// passOther passes an answer on that is no stream of events; a failure is an error where the request may run again.
-func (r *Relay) passOther(out *output, q *request, resp *http.Response) *result.Error {
-	if resp.StatusCode >= http.StatusInternalServerError && q.route.Idempotent() && q.sent < q.route.Attempts {
+// forwardNonStream forwards an answer that is not a stream of events. A server error is returned as an error if the
+// request may run again.
+func (r *Relay) forwardNonStream(out *output, q *request, resp *http.Response) *result.Error {
+	if resp.StatusCode >= http.StatusInternalServerError && q.route.Idempotent() && q.possibleRuns < q.route.Attempts {
 		return result.New(result.AnswerLost, "status %d", resp.StatusCode)
 	}
 	if out.started {
-		return result.New(result.StreamCut, "status %d in place of the rest", resp.StatusCode)
+		return result.New(result.StreamCut, "status %d instead of the rest of the stream", resp.StatusCode)
 	}
-	return out.copyWhole(resp)
+	return out.copyAnswer(resp)
 }
 
-// endOf says what the end of a request means for its engine's adapter.
-func endOf(rerr *result.Error) owner.End {
+// grantEnd converts the result of a request to the end of its grant, as reported to the owner of the engine.
+func grantEnd(rerr *result.Error) owner.End {
 	switch {
 	case rerr == nil:
 		return owner.EndWhole
@@ -182,28 +188,29 @@
 	}
 }
 
-// stallWatch ends an exchange whose stream has fallen silent, where the stream can be taken up elsewhere.
+// stallWatch cancels an exchange whose stream has stalled, if the stream can be resumed at another engine.
 type stallWatch struct {
 	timer *time.Timer
 	fired chan struct{}
 }
 
-func (r *Relay) watchStall(q *request, cancel context.CancelFunc) *stallWatch {
+// startStallWatch starts to watch a stream for stalls. The watch does nothing if the stream cannot be resumed.
+func (r *Relay) startStallWatch(q *request, cancel context.CancelFunc) *stallWatch {
 	w := &stallWatch{fired: make(chan struct{})}
-	if !r.cfg.Policy.On(policy.Stalls) || !q.route.Idempotent() || q.sent+1 >= q.route.Attempts {
+	if !r.cfg.Policy.On(policy.Stalls) || !q.route.Idempotent() || q.possibleRuns+1 >= q.route.Attempts {
 		return w
 	}
-	w.timer = time.AfterFunc(stallFirst*time.Duration(q.route.Objective), func() {
+	w.timer = time.AfterFunc(firstEventObjectives*time.Duration(q.route.Objective), func() {
 		close(w.fired)
 		cancel()
 	})
 	return w
 }
 
-// beat says that an event has come.
-func (w *stallWatch) beat() {
+// resetTimer restarts the timeout when an event has arrived.
+func (w *stallWatch) resetTimer() {
 	if w.timer != nil {
-		w.timer.Reset(stallAfter)
+		w.timer.Reset(eventTimeout)
 	}
 }
 
@@ -213,14 +220,14 @@
 	}
 }
 
-// blame names the silence as the cause of a failure that it brought about.
-func (w *stallWatch) blame(rerr *result.Error) *result.Error {
+// stallError returns an error that names the stall if a stall caused rerr, and rerr otherwise.
+func (w *stallWatch) stallError(rerr *result.Error) *result.Error {
 	if rerr == nil {
 		return nil
 	}
 	select {
 	case <-w.fired:
-		return result.New(result.StreamCut, "the engine fell silent")
+		return result.New(result.StreamCut, "the engine stopped sending events")
 	default:
 		return rerr
 	}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -12,49 +12,54 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// allLeaveRetry is when callers may come back, at the soonest, that found all endpoints leaving: those that replace them are in discovery a second or two
-// after they have started. They come back spread over as long again.
-const allLeaveRetry = time.Second
+// allLeavingRetryAfter is the minimum retry delay for callers that found all endpoints leaving. Replacements are
+// listed in discovery a second or two after they have started. The retries are spread over the same time again.
+const allLeavingRetryAfter = time.Second
 
-// restSpread is over what time those come back that found all endpoints resting, from the end of the first rest on.
-const restSpread = time.Second
+// restRetrySpread is the time over which the retries of callers that found all endpoints resting are spread. It
+// begins at the end of the first rest. An endpoint rests while it has asked this box to send no requests.
+const restRetrySpread = time.Second
 
-// life returns the life of the endpoint that a request is sent to.
-func (d destination) life() notice.Endpoint { return notice.Endpoint{Name: d.name, Started: d.started} }
+// noticeEndpoint returns the name and start of the endpoint, by which its notices are stored.
+func (d destination) noticeEndpoint() notice.Endpoint {
+	return notice.Endpoint{Name: d.name, Started: d.started}
+}
 
-// isOwn reports whether an answer to a request is that of the endpoint asked. Another one at its address, a surplus answer and whatever stands in between
-// say nothing of it.
-func isOwn(q *request, to destination, head AnswerHead) bool {
+// isFromDestination reports whether an answer comes from the endpoint that the request was sent to. Answers from another
+// endpoint at its address, surplus answers, and answers from proxies in between say nothing about the endpoint.
+func isFromDestination(q *request, to destination, head AnswerHead) bool {
 	if head.Elsewhere {
 		return head.Instance == to.name
 	}
 	return head.ID != "" && head.ID == q.head.ID
 }
 
-// hear takes in what the head of an answer says of its endpoint.
-func (r *Relay) hear(q *request, to destination, head AnswerHead, sound bool) {
-	w := head.Notice
-	if isOwn(q, to, head) {
-		r.hearRate(to, w, sound)
-		r.cfg.Notices.Heard(clock.Now(), to.life(), w)
+// handleNotice records the notice in the head of an answer. It ignores notices that do not come from the endpoint
+// itself. valid is set if the answer passed all checks.
+func (r *Relay) handleNotice(q *request, to destination, head AnswerHead, valid bool) {
+	word := head.Notice
+	if isFromDestination(q, to, head) {
+		r.handleRate(to, word, valid)
+		r.cfg.Notices.Heard(clock.Now(), to.noticeEndpoint(), word)
 		return
 	}
-	if w.Leaving || w.Rest > 0 || w.Rate.Limited {
+	if word.Leaving || word.Rest > 0 || word.Rate.Limited {
 		r.cfg.Scope.Counter("notices_of_others").Inc(1)
-		klog.V(1).InfoS("word of an answer that is not the endpoint's", "endpoint", to.name, "asked_as", q.head.ID, "answered_as", head.ID, "instance", head.Instance,
-			"leaving", w.Leaving, "rest", w.Rest, "rate", w.Rate.Rate)
+		klog.V(1).InfoS("ignored a notice that did not come from the endpoint itself", "endpoint", to.name, "asked_as", q.head.ID, "answered_as", head.ID, "instance", head.Instance,
+			"leaving", word.Leaving, "rest", word.Rest, "rate", word.Rate.Rate)
 	}
 }
 
-// unwanted returns why a request may not be sent to an endpoint by what that has said of itself, nil if it may. It is asked again right before each send:
-// what was chosen, or let in by an owner or a keeper, may have waited meanwhile.
-func (r *Relay) unwanted(to destination) *result.Error {
+// checkNotices returns an error if the notices of an endpoint forbid sending it a request. It is called right before
+// each send, because a request may have waited after its endpoint was chosen, or after an owner or a keeper admitted
+// it.
+func (r *Relay) checkNotices(to destination) *result.Error {
 	now := clock.Now()
-	if r.cfg.Notices.Leaves(now, to.life()) {
+	if r.cfg.Notices.Leaves(now, to.noticeEndpoint()) {
 		r.cfg.Scope.Counter("kept_from_leaving").Inc(1)
 		return result.New(result.EndpointLeaving, "%s", to.name)
 	}
-	wait, ok := r.cfg.Notices.Enter(now, to.life())
+	wait, ok := r.cfg.Notices.Enter(now, to.noticeEndpoint())
 	if ok {
 		return nil
 	}
@@ -64,23 +69,25 @@
 	return rerr
 }
 
-// rests reports whether an endpoint is to get nothing from this box now. It was not asked of other boxes: they go on sending there, and a request that came
-// here is not handed to them, as that would be the same load by another way.
-func (r *Relay) rests(e catalog.EndpointView) bool {
+// isResting reports whether an endpoint has asked this box to send no requests at present. Other boxes were not
+// asked, so they continue to send. A request at this box is not passed on to them, because the load on the endpoint
+// would be the same.
+func (r *Relay) isResting(e catalog.EndpointView) bool {
 	return r.cfg.Notices.Any() && r.cfg.Notices.Rest(clock.Now(), notice.Endpoint{Name: e.Name, Started: e.Spec.Started}) > 0
 }
 
-// nobodyWants refuses a request if all endpoints that could take it leave, or rest; nil if there is another one.
-func (r *Relay) nobodyWants(q *request) *result.Error {
+// refuseIfNoneAvailable refuses a request if all endpoints that could take it are leaving or resting. It returns nil
+// if there is another endpoint, or no endpoint at all.
+func (r *Relay) refuseIfNoneAvailable(q *request) *result.Error {
 	t := r.cfg.Catalog.Topology()
 	now := clock.Now()
-	var resting shortest
-	there := 0
+	var resting refusals
+	total := 0
 	for _, e := range t.Endpoints[q.service] {
 		if view, ok := t.Engines[e.Name]; ok && q.head.Model != "" && view.Spec.BaseModel != q.head.Model {
 			continue
 		}
-		there++
+		total++
 		if e.Spec.Leaving {
 			continue
 		}
@@ -93,25 +100,26 @@
 	switch {
 	case resting.count > 0:
 		rerr := result.New(result.EndpointResting, "%s", q.service)
-		rerr.RetryAfter = resting.wait + rand.N(restSpread)
+		rerr.RetryAfter = resting.shortestWait + rand.N(restRetrySpread)
 		return rerr
-	case there > 0:
-		// What ends at any moment is given no new work, and nothing is there to wait for.
+	case total > 0:
+		// Endpoints that are leaving may end at any moment, so they get no new requests, and waiting for them is useless.
 		rerr := result.New(result.EndpointLeaving, "%s", q.service)
-		rerr.RetryAfter = allLeaveRetry + rand.N(allLeaveRetry)
+		rerr.RetryAfter = allLeavingRetryAfter + rand.N(allLeavingRetryAfter)
 		return rerr
 	default:
 		return nil
 	}
 }
 
-// notBeforeRest refuses anew what has not run, and what nobody would take now if it came back: before the first rest is over that would be in vain.
-func (r *Relay) notBeforeRest(q *request, rerr *result.Error) *result.Error {
-	if rerr == nil || q.sent > 0 || (rerr.Code != result.BackendRefused && rerr.Code != result.EndpointResting) {
+// delayRetryUntilRestEnds replaces the error of a request that did not run if no endpoint is available now. A retry
+// before the end of the first rest would be refused again.
+func (r *Relay) delayRetryUntilRestEnds(q *request, rerr *result.Error) *result.Error {
+	if rerr == nil || q.possibleRuns > 0 || (rerr.Code != result.BackendRefused && rerr.Code != result.EndpointResting) {
 		return rerr
 	}
-	if nobody := r.nobodyWants(q); nobody != nil {
-		return nobody
+	if unavailable := r.refuseIfNoneAvailable(q); unavailable != nil {
+		return unavailable
 	}
 	return rerr
 }
--- a/internal/relay/offers.go
+++ b/internal/relay/offers.go
@@ -6,60 +6,66 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// offer is what an engine's owner expects of a request that it did not take in at once.
+// offer is the estimate of an engine's owner for a request that the owner did not accept at once.
 type offer struct {
 	candidate *candidate
-	// wait is the expected time until its first token, weight that with the engine's place in the order.
+	// wait is the expected time until the first token. weight is wait plus the weight of the engine's position in the
+	// order.
 	wait   time.Duration
 	weight time.Duration
 }
 
-// offers holds the best of what owners said about one request.
+// offers holds the best offers of owners for one request.
 type offers struct {
 	// inTime is the longest wait with which the request can be answered within its objective.
 	inTime time.Duration
-	// copies says that a copy has to be worth its load; else the soonest engine is best.
-	copies bool
-	// price is how much sooner a copy has to be than the engines that have the version near.
-	price time.Duration
-	// near is the best engine that has the adapter version near, fresh the best of those that would bring it from the weight store.
-	near  *offer
-	fresh *offer
+	// limitCopies makes loading another copy depend on whether the copy is worth its load. Otherwise the engine with the
+	// earliest start is the best one.
+	limitCopies bool
+	// minGain is how much earlier another copy must start the request than the engines that have the version locally.
+	minGain time.Duration
+	// local is the best offer of an engine that has the adapter version locally, download the best one of an engine that
+	// would load the version from the weight store.
+	local    *offer
+	download *offer
 }
 
-// add takes an owner's answer in; bias is what the engine's place in the order weighs.
-func (o *offers) add(c *candidate, rerr *result.Error, bias time.Duration) {
-	to := &o.fresh
+// add records the answer of an owner. positionBias is the weight of the engine's position in the order.
+func (o *offers) add(c *candidate, rerr *result.Error, positionBias time.Duration) {
+	bestSoFar := &o.download
 	if rerr.Code == result.Crowded {
-		to, bias = &o.near, 0
+		bestSoFar, positionBias = &o.local, 0
 	}
-	if weight := rerr.RetryAfter + bias; *to == nil || weight < (*to).weight {
-		*to = &offer{candidate: c, wait: rerr.RetryAfter, weight: weight}
+	if weight := rerr.RetryAfter + positionBias; *bestSoFar == nil || weight < (*bestSoFar).weight {
+		*bestSoFar = &offer{candidate: c, wait: rerr.RetryAfter, weight: weight}
 	}
 }
 
-// crowded reports whether there are engines with the version near, none of which can start the request in time.
-func (o *offers) crowded() bool { return o.near != nil && o.near.wait > o.inTime }
+// isCrowded reports whether some engines have the version locally but none of them can start the request in time.
+func (o *offers) isCrowded() bool { return o.local != nil && o.local.wait > o.inTime }
 
-// pressed reports whether no owner so far can start the request in time.
-func (o *offers) pressed() bool {
-	return (o.near == nil || o.near.wait > o.inTime) && (o.fresh == nil || o.fresh.wait > o.inTime)
+// noneInTime reports whether no owner asked so far can start the request in time.
+func (o *offers) noneInTime() bool {
+	return (o.local == nil || o.local.wait > o.inTime) && (o.download == nil || o.download.wait > o.inTime)
 }
 
-// best returns the engine to take, nil if none made an offer. A load from the weight store takes a part of what it can bring to all
-// engines, so one more copy is loaded only where it serves the request in time, and no engine that has the version near does or
-// all would make it wait much longer: what is expected of busy engines is often too short.
+// best returns the best offer, nil if there is none.
+//
+// All engines share the bandwidth of the weight store. Another copy is therefore loaded only if it serves the request
+// in time and the engines that have the version locally do not, or all of them would make the request wait much
+// longer. A large difference is
+// required because the estimates for busy engines are often too short.
 func (o *offers) best() *offer {
 	switch {
-	case o.near == nil:
-		return o.fresh
-	case !o.copies && o.fresh != nil && o.fresh.weight < o.near.weight:
-		return o.fresh
-	case o.fresh == nil || o.fresh.wait > o.inTime:
-		return o.near
-	case o.crowded() || o.near.wait > o.fresh.wait+o.price:
-		return o.fresh
+	case o.local == nil:
+		return o.download
+	case !o.limitCopies && o.download != nil && o.download.weight < o.local.weight:
+		return o.download
+	case o.download == nil || o.download.wait > o.inTime:
+		return o.local
+	case o.isCrowded() || o.local.wait > o.download.wait+o.minGain:
+		return o.download
 	default:
-		return o.near
+		return o.local
 	}
 }
--- a/internal/relay/parts_test.go
+++ b/internal/relay/parts_test.go
@@ -23,10 +23,10 @@
 		requests int
 		want     int
 	}{
-		{"one box has the allowance, with caution", 1, 0, 35},
-		{"many boxes share it", 7, 0, 5},
-		{"a box always has one", 1000, 0, 1},
-		{"requests earn parts of repeats, never more than the share", 7, 1000, 5},
+		{"one box has the whole allowance, less the safety margin", 1, 0, 35},
+		{"many boxes share the allowance", 7, 0, 5},
+		{"a box always has one retry", 1000, 0, 1},
+		{"requests earn fractions of retries, up to the share", 7, 1000, 5},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -60,59 +60,59 @@
 	h.end("e", now, true)
 	inFlight, failures := h.load("e", now)
 	c.Check(inFlight, qt.Equals, 1)
-	c.Check(failures >= avoidFrom, qt.IsTrue)
+	c.Check(failures >= avoidThreshold, qt.IsTrue)
 	_, failures = h.load("e", now.Add(2*failureHalfLife))
-	c.Check(failures < avoidFrom, qt.IsTrue)
+	c.Check(failures < avoidThreshold, qt.IsTrue)
 	inFlight, failures = h.load("never seen", now)
 	c.Check(inFlight, qt.Equals, 0)
 	c.Check(failures, qt.Equals, 0.0)
 }
 
-func TestMemory(t *testing.T) {
+func TestHoldings(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	a, b := resource.Ref{Adapter: "a", Version: "1"}, resource.Ref{Adapter: "a", Version: "2"}
-	m := newMemory()
-	m.answered(a, "e", now)
-	c.Check(m.holds(a, "e", now), qt.IsTrue)
-	c.Check(m.holds(b, "e", now), qt.IsFalse)
-	c.Check(m.holds(a, "e", now.Add(rememberFor)), qt.IsFalse)
-	m.lacks(a, "e")
-	c.Check(m.holds(a, "e", now), qt.IsFalse)
+	m := newHoldings()
+	m.add(a, "e", now)
+	c.Check(m.has(a, "e", now), qt.IsTrue)
+	c.Check(m.has(b, "e", now), qt.IsFalse)
+	c.Check(m.has(a, "e", now.Add(holdingTTL)), qt.IsFalse)
+	m.remove(a, "e")
+	c.Check(m.has(a, "e", now), qt.IsFalse)
 	for range 3 * maxHoldings {
-		m.answered(resource.Ref{Adapter: "x", Version: now.String()}, "e", now)
+		m.add(resource.Ref{Adapter: "x", Version: now.String()}, "e", now)
 		now = now.Add(time.Millisecond)
 	}
-	c.Check(len(m.seen) <= maxHoldings, qt.IsTrue)
+	c.Check(len(m.answeredAt) <= maxHoldings, qt.IsTrue)
 }
 
-func TestSample(t *testing.T) {
+func TestLogSampler(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := &sample{}
-	told := 0
+	s := &logSampler{}
+	logged := 0
 	for range 50 {
-		if _, ok := s.take(now); ok {
-			told++
+		if _, ok := s.allow(now); ok {
+			logged++
 		}
 	}
-	c.Check(told, qt.Equals, servedLines)
-	leftOut, ok := s.take(now.Add(time.Second))
+	c.Check(logged, qt.Equals, servedLinesPerSecond)
+	leftOut, ok := s.allow(now.Add(time.Second))
 	c.Check(ok, qt.IsTrue)
-	c.Check(leftOut, qt.Equals, int64(50-servedLines))
+	c.Check(leftOut, qt.Equals, int64(50-servedLinesPerSecond))
 }
 
-func TestCopyHeaders(t *testing.T) {
+func TestForwardableHeaders(t *testing.T) {
 	c := qt.New(t)
 	in := http.Header{
 		"Connection": {"keep-alive, X-Private"}, "X-Private": {"1"}, "Keep-Alive": {"timeout=5"}, "Te": {"trailers"}, "Transfer-Encoding": {"chunked"},
 		"X-Passed": {"1", "2"}, "Content-Type": {"text/plain"},
 	}
-	c.Check(copyHeaders(in), qt.DeepEquals, http.Header{"X-Passed": {"1", "2"}, "Content-Type": {"text/plain"}})
+	c.Check(forwardableHeaders(in), qt.DeepEquals, http.Header{"X-Passed": {"1", "2"}, "Content-Type": {"text/plain"}})
 	c.Check(in.Get("X-Private"), qt.Equals, "1")
 }
 
-// brokenBody ends with an error in place of the end of the stream.
+// brokenBody is a body that ends with an error instead of io.EOF.
 type brokenBody struct{ io.Reader }
 
 // Read implements io.Reader.
@@ -134,10 +134,10 @@
 		{"whole events", strings.NewReader("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, true},
 		{"carriage returns", strings.NewReader("id: 1\r\n\r\n"), []string{"id: 1\r\n\r\n"}, true},
 		{"nothing", strings.NewReader(""), nil, true},
-		{"the last event is not whole", strings.NewReader("id: 1\n\nid: 2\nda"), []string{"id: 1\n\n"}, false},
+		{"the last event is incomplete", strings.NewReader("id: 1\n\nid: 2\nda"), []string{"id: 1\n\n"}, false},
 		{"broken between events", brokenBody{strings.NewReader("id: 1\n\n")}, []string{"id: 1\n\n"}, false},
 		{"an event longer than the reader's buffer", strings.NewReader("data: " + strings.Repeat("x", 3*eventBuffer) + "\n\n"), []string{"data: " + strings.Repeat("x", 3*eventBuffer) + "\n\n"}, true},
-		{"an event without end", strings.NewReader("data: " + strings.Repeat("x", 2*maxEvent)), nil, false},
+		{"an event above the size limit", strings.NewReader("data: " + strings.Repeat("x", 2*maxEvent)), nil, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -156,42 +156,44 @@
 	}
 }
 
-// TestNotRunIsSaidOnlyWhenTrue: a refusal after a try that may have run promises nothing.
-func TestNotRunIsSaidOnlyWhenTrue(t *testing.T) {
+// TestNotRunIsReportedOnlyWhenCertain guards against reporting that a request did not run when an earlier try may
+// have run it.
+func TestNotRunIsReportedOnlyWhenCertain(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		sent int
-		in   result.Code
-		want result.Code
+		name         string
+		possibleRuns int
+		in           result.Code
+		want         result.Code
 	}{
-		{"refused, never sent", 0, result.BackendRefused, result.BackendRefused},
+		{"refused without having run", 0, result.BackendRefused, result.BackendRefused},
 		{"refused after a try that may have run", 1, result.BackendRefused, result.AnswerLost},
 		{"no engine after a try that may have run", 1, result.NoEngine, result.AnswerLost},
-		{"its time was over before it was sent", 0, result.CallerGone, result.DeadlineUnmet},
-		{"its time was over after it was sent", 1, result.CallerGone, result.AnswerLost},
-		{"a lost answer stays one", 1, result.AnswerLost, result.AnswerLost},
-		{"a cut stream stays one", 2, result.StreamCut, result.StreamCut},
+		{"time over before the request was sent", 0, result.CallerGone, result.DeadlineUnmet},
+		{"time over after the request was sent", 1, result.CallerGone, result.AnswerLost},
+		{"a lost answer stays a lost answer", 1, result.AnswerLost, result.AnswerLost},
+		{"a cut stream stays a cut stream", 2, result.StreamCut, result.StreamCut},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			q := &request{sent: tt.sent}
-			qt.New(t).Check(q.truth(result.New(tt.in, "")).Code, qt.Equals, tt.want)
+			q := &request{possibleRuns: tt.possibleRuns}
+			qt.New(t).Check(q.callerError(result.New(tt.in, "")).Code, qt.Equals, tt.want)
 		})
 	}
 }
 
-// TestArrange orders twenty engines. Engine 2 failed lately; 3, 8, 9 and 15 hold the version, 9 and 15 in this box's zone.
-func TestArrange(t *testing.T) {
+// TestOrderCandidates orders twenty engines. Engine 2 failed recently. Engines 3, 8, 9 and 15 hold the version, 9 and
+// 15 of them in this box's zone.
+func TestOrderCandidates(t *testing.T) {
 	var ranked []candidate
 	for i := range 20 {
 		ranked = append(ranked, candidate{
-			name: strconv.Itoa(i), doubtful: i == 2, holds: slices.Contains([]int{3, 8, 9, 15}, i), near: i == 9 || i == 15,
+			name: strconv.Itoa(i), failedRecently: i == 2, holdsVersion: slices.Contains([]int{3, 8, 9, 15}, i), sameZone: i == 9 || i == 15,
 		})
 	}
 	for _, tt := range []struct {
 		name    string
 		crowded bool
-		// near, far and rest are the groups in which the order starts; within the first two any order does.
-		near, far, rest []string
+		// These three groups follow each other in the expected order. Within the first two, any order is accepted.
+		sameZoneHolders, otherHolders, others []string
 	}{
 		{"calm", false, nil, nil, []string{"0", "1", "3", "4", "5", "6", "8", "9", "15", "7", "10", "11", "12", "13", "14", "16", "17", "18"}},
 		{"crowded", true, []string{"15", "9"}, []string{"3", "8"}, []string{"0", "1", "4", "5", "6", "7", "10", "11", "12", "13", "14", "16", "17", "18"}},
@@ -199,16 +201,16 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			var got []string
-			for _, x := range arrange(ranked, tt.crowded) {
+			for _, x := range orderCandidates(ranked, tt.crowded) {
 				got = append(got, x.name)
 			}
-			c.Assert(got, qt.HasLen, maxAsked)
-			near, far := got[:len(tt.near)], got[len(tt.near):len(tt.near)+len(tt.far)]
-			c.Check(got[len(tt.near)+len(tt.far):], qt.DeepEquals, tt.rest)
-			slices.Sort(near)
-			slices.Sort(far)
-			c.Check(strings.Join(near, " "), qt.Equals, strings.Join(tt.near, " "))
-			c.Check(strings.Join(far, " "), qt.Equals, strings.Join(tt.far, " "))
+			c.Assert(got, qt.HasLen, maxCandidatesCrowded)
+			gotSameZone, gotOther := got[:len(tt.sameZoneHolders)], got[len(tt.sameZoneHolders):len(tt.sameZoneHolders)+len(tt.otherHolders)]
+			c.Check(got[len(tt.sameZoneHolders)+len(tt.otherHolders):], qt.DeepEquals, tt.others)
+			slices.Sort(gotSameZone)
+			slices.Sort(gotOther)
+			c.Check(strings.Join(gotSameZone, " "), qt.Equals, strings.Join(tt.sameZoneHolders, " "))
+			c.Check(strings.Join(gotOther, " "), qt.Equals, strings.Join(tt.otherHolders, " "))
 		})
 	}
 }
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -17,99 +17,105 @@
 )
 
 const (
-	// maxArrivals bounds how many endpoints a request is sent to, refusals included.
+	// maxArrivals bounds the endpoints that a request is sent to, including those that refuse it.
 	maxArrivals = 4
-	// maxUnreached bounds how many it is tried to be sent to beside those, as nothing listens there. Such tries are no load to anybody and count for
-	// no repeat: on a day on which a sixth of the engines crashed 417 requests ended at one, most for want of a repeat in the budget.
-	maxUnreached = 4
+	// maxConnectFailures bounds the additional tries at endpoints where nothing listens. Such tries cause no load and do
+	// not count as retries. On a day on which a sixth of the engines crashed, 417 requests failed at a crashed engine,
+	// most of them because the retry budget was used up.
+	maxConnectFailures = 4
 )
 
-// maySend reports whether a request may be tried at one more endpoint.
-func (q *request) maySend() bool { return q.arrivals < maxArrivals && q.unreached < maxUnreached }
+// canSend reports whether a request may be sent to one more endpoint.
+func (q *request) canSend() bool {
+	return q.arrivals < maxArrivals && q.connectFailures < maxConnectFailures
+}
 
 // servePlain answers a request from any endpoint of its service.
 func (r *Relay) servePlain(ctx context.Context, out *output, q *request) *result.Error {
-	last := result.New(result.NoEndpoint, "%s", q.service)
+	lastErr := result.New(result.NoEndpoint, "%s", q.service)
 	tried := map[string]bool{}
-	for q.maySend() {
-		again, rerr := r.tryPlain(ctx, out, q, tried, last)
-		if !again {
-			return r.notBeforeRest(q, rerr)
+	for q.canSend() {
+		retry, rerr := r.tryPlain(ctx, out, q, tried, lastErr)
+		if !retry {
+			return r.delayRetryUntilRestEnds(q, rerr)
 		}
-		last = rerr
+		lastErr = rerr
 	}
-	return r.notBeforeRest(q, last)
+	return r.delayRetryUntilRestEnds(q, lastErr)
 }
 
-// tryPlain tries one endpoint, after another has failed with last. It reports whether a further one may be tried.
-func (r *Relay) tryPlain(ctx context.Context, out *output, q *request, tried map[string]bool, last *result.Error) (again bool, rerr *result.Error) {
-	leave, rerr := r.inTurn(ctx, q)
+// tryPlain tries one endpoint. lastErr is the error of the previous try. retry reports whether another endpoint may
+// be tried.
+func (r *Relay) tryPlain(ctx context.Context, out *output, q *request, tried map[string]bool, lastErr *result.Error) (retry bool, rerr *result.Error) {
+	release, rerr := r.waitForFirst(ctx, q)
 	if rerr != nil {
 		return false, rerr
 	}
-	defer leave()
-	if q.arrivals > 0 && !r.mayRepeat(q, last) {
-		return false, last
+	defer release()
+	if q.arrivals > 0 && !r.spendRetry(q, lastErr) {
+		return false, lastErr
 	}
-	e, place, rerr := r.placePlain(ctx, q, tried)
+	e, place, rerr := r.reserveEndpoint(ctx, q, tried)
 	if rerr != nil {
 		if q.arrivals > 0 {
-			rerr = last
+			rerr = lastErr
 		}
 		return false, rerr
 	}
 	tried[e.Name] = true
-	r.alike.chose(q.suspect.Fingerprint, e.Name)
+	r.firstRequests.setEndpoint(q.suspect.Fingerprint, e.Name)
 	sentAt := clock.Now()
 	resp, rerr := r.callPlain(ctx, q, e)
-	place.End(answeredIn(sentAt, resp))
+	place.End(answerTime(sentAt, resp))
 	if rerr == nil {
-		rerr = r.passPlain(out, resp, e, q)
+		rerr = r.forwardPlain(out, resp, e, q)
 	}
-	r.settle(ctx, q, destination{e.Name, e.Spec.Address, e.Spec.Started}, rerr)
+	r.reportOutcome(ctx, q, destination{e.Name, e.Spec.Address, e.Spec.Started}, rerr)
 	if rerr == nil || out.started {
 		return false, rerr
 	}
-	return r.elsewhere(q, rerr), rerr
+	return r.canTryNext(q, rerr), rerr
 }
 
-// plainShare is the part of the objective within which a plain answer is to be expected; the rest is for those that take longer than most.
-const plainShare = 0.7
+// plainAnswerShare is the part of the objective within which a plain answer must be expected. The rest is a margin
+// for requests that take longer than most.
+const plainAnswerShare = 0.7
 
-// placePlain chooses an endpoint with room for one more request. If there is none the error says when to come back.
-func (r *Relay) placePlain(ctx context.Context, q *request, tried map[string]bool) (catalog.EndpointView, *places.Place, *result.Error) {
-	passed := maps.Clone(tried)
-	var full shortest
-	q.limited = shortest{}
+// reserveEndpoint chooses an endpoint with room for one more request and reserves a place there. If there is none,
+// the error contains the retry delay.
+func (r *Relay) reserveEndpoint(ctx context.Context, q *request, tried map[string]bool) (catalog.EndpointView, *places.Place, *result.Error) {
+	skipped := maps.Clone(tried)
+	var fullEndpoints refusals
+	q.rateLimited = refusals{}
 	for {
-		e, ok := r.choosePlain(q, passed)
+		e, ok := r.choosePlainEndpoint(q, skipped)
 		if !ok {
-			return e, nil, r.noPlace(q, full)
+			return e, nil, r.noPlaceError(q, fullEndpoints)
 		}
-		passed[e.Name] = true
-		if r.rateUsedUp(q, e.Name) {
-			q.limited.add(0)
+		skipped[e.Name] = true
+		if r.isRateExhausted(q, e.Name) {
+			q.rateLimited.add(0)
 			continue
 		}
-		place, refusal := r.cfg.Places.Take(ctx, r.askPlace(q, e))
+		place, refusal := r.cfg.Places.Take(ctx, r.newPlaceAsk(q, e))
 		switch {
 		case place != nil:
 			return e, place, nil
 		case refusal.Limited:
-			q.tried(e.Name, result.RateLimited.String())
-			q.limited.add(refusal.Wait)
-			r.noteUsedUp(q, e.Name)
+			q.recordTry(e.Name, result.RateLimited.String())
+			q.rateLimited.add(refusal.Wait)
+			r.markRateExhausted(q, e.Name)
 		default:
-			q.tried(e.Name, "full")
-			full.add(refusal.Wait)
+			q.recordTry(e.Name, "full")
+			fullEndpoints.add(refusal.Wait)
 		}
 	}
 }
 
-// askPlace returns what is asked of the box that counts the requests at an endpoint.
-func (r *Relay) askPlace(q *request, e catalog.EndpointView) places.Ask {
+// newPlaceAsk returns the request for a place, which goes to the box that counts the requests at the endpoint.
+func (r *Relay) newPlaceAsk(q *request, e catalog.EndpointView) places.Ask {
 	a := places.Ask{
-		Endpoint: e.Name, Started: e.Spec.Started, Slots: e.Spec.Slots, Within: shareOf(q.route.Objective, plainShare) - clock.Since(q.came), Hold: q.left(),
+		Endpoint: e.Name, Started: e.Spec.Started, Slots: e.Spec.Slots, Within: shareOf(q.route.Objective, plainAnswerShare) - clock.Since(q.receivedAt), Hold: q.timeLeft(),
 		Urgency: q.urgency(), Customer: q.customerName(),
 	}
 	if !r.cfg.Policy.On(policy.Places) {
@@ -118,101 +124,105 @@
 	return a
 }
 
-// noPlace refuses a request for which no endpoint has a place.
-func (r *Relay) noPlace(q *request, full shortest) *result.Error {
-	if rerr := r.nobodyWants(q); rerr != nil {
+// noPlaceError returns the error for a request for which no endpoint has a place.
+func (r *Relay) noPlaceError(q *request, fullEndpoints refusals) *result.Error {
+	if rerr := r.refuseIfNoneAvailable(q); rerr != nil {
 		return rerr
 	}
-	if full.count == 0 && q.limited.count > 0 {
-		return r.spreadReturn(q, result.New(result.RateLimited, "%s", q.service))
+	if fullEndpoints.count == 0 && q.rateLimited.count > 0 {
+		return r.spreadRetry(q, result.New(result.RateLimited, "%s", q.service))
 	}
 	rerr := result.New(result.NoEndpoint, "%s", q.service)
-	rerr.RetryAfter = full.wait
+	rerr.RetryAfter = fullEndpoints.shortestWait
 	return rerr
 }
 
-// answeredIn returns the time until an answer came that shows how fast the endpoint is, else zero.
-func answeredIn(sentAt time.Time, resp *http.Response) time.Duration {
+// answerTime returns the time until the answer arrived, or zero if the answer does not show how fast the endpoint is.
+func answerTime(sentAt time.Time, resp *http.Response) time.Duration {
 	if resp == nil || resp.StatusCode >= http.StatusInternalServerError {
 		return 0
 	}
 	return clock.Since(sentAt)
 }
 
-// mayRepeat takes one repeat from the budget.
-func (r *Relay) mayRepeat(q *request, last *result.Error) bool {
+// spendRetry takes one retry from the budget and reports whether one was available. lastErr is the reason for the
+// retry.
+func (r *Relay) spendRetry(q *request, lastErr *result.Error) bool {
 	if !r.budgets.spend(q.service) {
 		r.cfg.Scope.Counter("repeats_over_budget").Inc(1)
 		return false
 	}
-	r.cfg.Scope.Tagged(map[string]string{"reason": last.Code.String()}).Counter("repeats").Inc(1)
+	r.cfg.Scope.Tagged(map[string]string{"reason": lastErr.Code.String()}).Counter("repeats").Inc(1)
 	return true
 }
 
-// elsewhere says whether another endpoint may be tried after rerr.
-func (r *Relay) elsewhere(q *request, rerr *result.Error) bool {
-	if q.left() <= 0 || rerr.Code == result.Quarantined {
+// canTryNext reports whether another endpoint may be tried after rerr.
+func (r *Relay) canTryNext(q *request, rerr *result.Error) bool {
+	if q.timeLeft() <= 0 || rerr.Code == result.Quarantined {
 		return false
 	}
 	if rerr.Code.Info().Ran == result.RanNo {
 		return true
 	}
-	return q.route.Idempotent() && q.sent < q.route.Attempts && rerr.Code != result.CallerGone
+	return q.route.Idempotent() && q.possibleRuns < q.route.Attempts && rerr.Code != result.CallerGone
 }
 
-// choosePlain returns the endpoint at which requests are that look alike, while none of these has run well, else the one with the fewest failures and
-// requests, of those that have not been tried.
-func (r *Relay) choosePlain(q *request, tried map[string]bool) (catalog.EndpointView, bool) {
-	type scored struct {
+// choosePlainEndpoint chooses among the endpoints that have not been tried. While no request with the same
+// fingerprint has run well, it returns the endpoint of the first such request in flight. Otherwise it returns the
+// endpoint with the fewest failures and requests in flight.
+func (r *Relay) choosePlainEndpoint(q *request, tried map[string]bool) (catalog.EndpointView, bool) {
+	type scoredEndpoint struct {
 		view  catalog.EndpointView
 		score float64
 	}
 	now := clock.Now()
-	together := r.together(q)
-	var all []scored
+	sharedEndpoint := r.endpointOfFirst(q)
+	var scoredEndpoints []scoredEndpoint
 	for _, e := range r.cfg.Catalog.Topology().Endpoints[q.service] {
-		if e.Spec.Leaving || tried[e.Name] || r.rests(e) {
+		if e.Spec.Leaving || tried[e.Name] || r.isResting(e) {
 			continue
 		}
-		if e.Name == together {
+		if e.Name == sharedEndpoint {
 			return e, true
 		}
 		inFlight, failures := r.health.load(e.Name, now)
-		// The share spreads equal choices, and brings requests that look alike to one endpoint, from whichever box.
-		all = append(all, scored{e, float64(inFlight) + failures*float64(max(1, e.Spec.Slots)) + share(q.suspect.Fingerprint, e.Name)})
+		// The hash breaks ties. It sends requests with the same fingerprint to the same endpoint, whichever box sends them.
+		scoredEndpoints = append(scoredEndpoints, scoredEndpoint{e, float64(inFlight) + failures*float64(max(1, e.Spec.Slots)) + hashFraction(q.suspect.Fingerprint, e.Name)})
 	}
-	if len(all) == 0 {
+	if len(scoredEndpoints) == 0 {
 		return catalog.EndpointView{}, false
 	}
-	best := slices.MinFunc(all, func(a, b scored) int { return cmp.Compare(a.score, b.score) })
+	best := slices.MinFunc(scoredEndpoints, func(a, b scoredEndpoint) int { return cmp.Compare(a.score, b.score) })
 	return best.view, true
 }
 
-// together returns the endpoint that a request goes to as others are there that look alike and may end it, empty if there is none.
-func (r *Relay) together(q *request) string {
+// endpointOfFirst returns the endpoint of the first request in flight with the same fingerprint, so that requests
+// that may crash their endpoint reach only one. It returns an empty string if there is none, or if such a request has
+// already run well.
+func (r *Relay) endpointOfFirst(q *request) string {
 	if r.cfg.Quarantine.RanWell(q.suspect.Fingerprint) {
 		return ""
 	}
-	return r.alike.where(q.suspect.Fingerprint)
+	return r.firstRequests.endpointOf(q.suspect.Fingerprint)
 }
 
-// callPlain sends a request to an endpoint. An answer that says the endpoint failed is an error where the request may run again.
+// callPlain sends a request to an endpoint. A server error is returned as an error if the request may run again.
 func (r *Relay) callPlain(ctx context.Context, q *request, e catalog.EndpointView) (*http.Response, *result.Error) {
 	r.health.begin(e.Name)
-	ctx, answered := r.limitTry(ctx, q)
+	ctx, stopTimer := r.withTryTimeout(ctx, q)
 	resp, rerr := r.exchange(ctx, q, destination{e.Name, e.Spec.Address, e.Spec.Started}, Attempt{})
-	if silent := answered(); silent && rerr != nil {
+	if timedOut := stopTimer(); timedOut && rerr != nil {
 		rerr = result.New(result.AnswerLost, "no answer within the objective")
 	}
 	if rerr != nil {
-		r.health.end(e.Name, clock.Now(), isFault(rerr))
+		r.health.end(e.Name, clock.Now(), isEndpointFault(rerr))
 		if rerr.Code.Info().Ran != result.RanNo {
-			q.sent++
+			q.possibleRuns++
 		}
 		return nil, rerr
 	}
-	q.sent++
-	if resp.StatusCode >= http.StatusInternalServerError && q.route.Idempotent() && q.sent < q.route.Attempts {
+	q.possibleRuns++
+	if resp.StatusCode >= http.StatusInternalServerError && q.route.Idempotent() && q.possibleRuns < q.route.Attempts {
 		_ = resp.Body.Close()
 		r.health.end(e.Name, clock.Now(), true)
 		return nil, result.New(result.AnswerLost, "status %d", resp.StatusCode)
@@ -220,11 +230,12 @@
 	return resp, nil
 }
 
-// limitTry ends a try that has no answer within the objective, where the request may run again and has the time to. The function
-// returned is called once the answer's head has come, and reports whether the try was ended.
-func (r *Relay) limitTry(ctx context.Context, q *request) (context.Context, func() bool) {
+// withTryTimeout cancels a try that gets no answer within the objective, if the request may run again and has enough
+// time left. The caller must call the returned function when the head of the answer has arrived. The function reports
+// whether the try was cancelled.
+func (r *Relay) withTryTimeout(ctx context.Context, q *request) (context.Context, func() bool) {
 	limit := time.Duration(q.route.Objective)
-	if !q.route.Idempotent() || q.sent+1 >= q.route.Attempts || q.left() < 2*limit {
+	if !q.route.Idempotent() || q.possibleRuns+1 >= q.route.Attempts || q.timeLeft() < 2*limit {
 		return ctx, func() bool { return false }
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -232,8 +243,8 @@
 	return ctx, func() bool { return !timer.Stop() }
 }
 
-// isFault reports whether a failure speaks against the endpoint.
-func isFault(rerr *result.Error) bool {
+// isEndpointFault reports whether an error counts as a failure of the endpoint.
+func isEndpointFault(rerr *result.Error) bool {
 	switch rerr.Code {
 	case result.CallerGone, result.NotHeld, result.Quarantined, result.EndpointLeaving, result.EndpointResting:
 		return false
@@ -242,15 +253,15 @@
 	}
 }
 
-// passPlain passes an answer on.
-func (r *Relay) passPlain(out *output, resp *http.Response, e catalog.EndpointView, q *request) *result.Error {
+// forwardPlain forwards an answer to the caller.
+func (r *Relay) forwardPlain(out *output, resp *http.Response, e catalog.EndpointView, q *request) *result.Error {
 	defer func() { _ = resp.Body.Close() }()
 	failed := resp.StatusCode >= http.StatusInternalServerError
 	var rerr *result.Error
 	if q.route.Kind == resource.RouteStream {
 		_, rerr = out.copyEvents(r.cfg.Wire, resp, q.head.LastEvent)
 	} else {
-		rerr = out.copyWhole(resp)
+		rerr = out.copyAnswer(resp)
 	}
 	r.health.end(e.Name, clock.Now(), failed || (rerr != nil && rerr.Code == result.StreamCut))
 	return rerr
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,5 +1,6 @@
-// Package relay passes requests on routes to the endpoints of services: plain ones to any endpoint, those for models to an
-// engine that holds the adapter version, with the leave of that engine's owner.
+// Package relay forwards callers' requests to the endpoints of services. A plain request goes to any endpoint of its
+// service. A model request goes to an engine that holds the adapter version, after the owner of that engine has
+// granted it.
 package relay
 
 import (
@@ -28,260 +29,268 @@
 	"github.com/bellgap/bellgap/internal/route"
 )
 
-// maxTriesTold bounds the tries that the line of a request names.
-const maxTriesTold = 16
+// maxLoggedTries bounds the number of tries that the log line of a request lists.
+const maxLoggedTries = 16
 
-// defaultBody bounds a body where the routing configuration sets no bound.
-const defaultBody = 4 << 20
+// defaultMaxBody bounds the bytes of a request body if the routing configuration sets no limit.
+const defaultMaxBody = 4 << 20
 
-// leavingRetry is when a caller refused by a leaving box may come back: at once, as other boxes take the request.
-const leavingRetry = 10 * time.Millisecond
+// leavingRetryAfter is the retry delay sent by a leaving box. It is short because other boxes accept the request at
+// once.
+const leavingRetryAfter = 10 * time.Millisecond
 
-// Config configures a Relay.
+// Config holds the settings and dependencies of a Relay.
 type Config struct {
-	// Box is the name of this box, Zone where it is.
+	// Box is the name of this box, Zone its availability zone.
 	Box     string
 	Zone    string
 	Catalog *catalog.Catalog
-	// Owners holds the engines that this box owns, Grants asks the owners on other boxes.
+	// Owners holds the engines that this box owns. Grants requests grants from the owners on other boxes.
 	Owners *owner.Set
 	Grants *grant.Client
-	// Endpoints sends requests; its transport repeats none.
+	// Endpoints sends requests to endpoints. Its transport must never send a request twice.
 	Endpoints *http.Client
 	Wire      Wire
 	Budget    BudgetConfig
 	Scope     tally.Scope
-	// Leaving returns how long this box has been leaving, zero if it is not. From LastStream on it takes no new streams, from
-	// LastRequest on no requests at all.
+	// Leaving returns how long this box has been leaving, zero if it is not leaving. From LastStream on, the box accepts
+	// no new streams. From LastRequest on, it accepts no requests at all.
 	Leaving     func() time.Duration
 	LastStream  time.Duration
 	LastRequest time.Duration
-	// Closed reports whether this box is about to go: it takes nothing more, so that nothing is in flight when it closes connections.
+	// Closed reports whether this box is about to close its connections. It then accepts no more requests, so that none
+	// is in flight when the connections close.
 	Closed func() bool
 	Policy policy.Policy
 	// StoreAge returns the time since the store last answered this box.
 	StoreAge func() time.Duration
-	// Quotas takes the units of customers' requests.
+	// Quotas charges the units of requests to the quotas of their customers.
 	Quotas *quota.Client
-	// Places counts the requests of all boxes at the endpoints of plain services.
+	// Places counts the requests that all boxes have in flight at the endpoints of plain services.
 	Places *places.Client
 	Ages   AgesConfig
-	// Quarantine knows which requests reach no endpoint, as others have ended under them.
+	// Quarantine identifies the requests that are sent to no endpoint because endpoints crashed while running them.
 	Quarantine *quarantine.Client
-	// Rates is what endpoints say of how many requests a second they take.
+	// Rates holds the request rates, in requests per second, that endpoints reported as their limits.
 	Rates *ratelimit.Book
-	// Notices is what else they have said of themselves.
+	// Notices holds the other notices of endpoints: that they are leaving, or that they request a rest.
 	Notices *notice.Board
 }
 
-// Relay serves callers.
+// Relay is the HTTP handler that forwards requests.
 type Relay struct {
 	cfg      Config
 	inFlight atomic.Int64
 	health   *health
-	// suspects are the boxes that did not answer lately, crowds the adapter versions whose engines all had requests waiting.
-	suspects *recent.Set[string]
-	crowds   *recent.Set[resource.Ref]
-	// usedUp are the endpoints whose rates left nothing lately for requests of an urgency.
-	usedUp  *recent.Set[usedUp]
-	budgets *budgets
-	sample  *sample
-	memory  *memory
-	alike   *alike
+	// silentBoxes holds the boxes that recently did not answer. crowdedRefs holds the adapter versions that recently had
+	// requests waiting at all their engines.
+	silentBoxes *recent.Set[string]
+	crowdedRefs *recent.Set[resource.Ref]
+	// exhaustedRates holds the endpoints whose rate recently left nothing for requests of one urgency.
+	exhaustedRates *recent.Set[exhaustedRate]
+	budgets        *budgets
+	sampler        *logSampler
+	holdings       *holdings
+	firstRequests  *firstRequests
 }
 
-// New returns a Relay.
+// New returns a Relay that uses the given configuration.
 func New(cfg Config) *Relay {
 	return &Relay{
-		cfg: cfg, health: newHealth(), budgets: newBudgets(cfg.Budget), sample: &sample{}, memory: newMemory(), alike: newAlike(),
-		suspects: recent.New[string](suspectFor), crowds: recent.New[resource.Ref](crowdedFor), usedUp: recent.New[usedUp](usedUpFor),
+		cfg: cfg, health: newHealth(), budgets: newBudgets(cfg.Budget), sampler: &logSampler{}, holdings: newHoldings(), firstRequests: newFirstRequests(),
+		silentBoxes: recent.New[string](silentBoxTTL), crowdedRefs: recent.New[resource.Ref](crowdedTTL), exhaustedRates: recent.New[exhaustedRate](exhaustedRateTTL),
 	}
 }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of requests in flight.
 func (r *Relay) InFlight() int { return int(r.inFlight.Load()) }
 
-// request is one request of a caller, read whole and checked.
+// request is one request of a caller, with its complete body and its checked headers.
 type request struct {
-	head    Head
-	in      *http.Request
-	body    []byte
-	route   *resource.Route
-	service string
-	came    time.Time
-	// endsAt is when the request's time is over, for the caller or for the route.
-	endsAt time.Time
-	// sent counts the endpoints that may have run it, arrivals all that it was sent to.
-	sent     int
-	arrivals int
-	// unreached counts the endpoints that it did not arrive at, as none listened there.
-	unreached int
-	// limited counts the endpoints that were left out for their rates, limitedAsks those of them that were asked.
-	limited     shortest
-	limitedAsks int
-	// customer is whose request it is, nil where callers need no key; digest is that of the key.
-	customer *customer.Customer
-	digest   customer.Digest
-	// units is what was taken of the quota of charged.
-	units   float64
-	charged *customer.Customer
-	// suspect is what it is known by when it comes again.
+	head       Head
+	incoming   *http.Request
+	body       []byte
+	route      *resource.Route
+	service    string
+	receivedAt time.Time
+	// deadline is when the caller's or the route's time limit ends, whichever is earlier.
+	deadline time.Time
+	// possibleRuns counts the endpoints that may have run the request. arrivals counts all endpoints that received it.
+	possibleRuns int
+	arrivals     int
+	// connectFailures counts the endpoints that could not be reached, for example because nothing listened there.
+	connectFailures int
+	// rateLimited counts the endpoints that were skipped because of their rates. rateLimitedAsks counts those of them
+	// that were asked.
+	rateLimited     refusals
+	rateLimitedAsks int
+	// customer is the customer that sent the request, nil where callers need no key. keyDigest is the digest of the key.
+	customer  *customer.Customer
+	keyDigest customer.Digest
+	// chargedUnits is the number of units charged to the quota of chargedCustomer.
+	chargedUnits    float64
+	chargedCustomer *customer.Customer
+	// suspect identifies the request if it is sent again.
 	suspect quarantine.Suspect
-	// ref is the adapter version it was for, tries what was asked of owners and endpoints, with the outcomes.
+	// ref is the adapter version that the request needs. tries lists the owners and endpoints that were tried, with the
+	// outcomes.
 	ref   string
 	tries []string
-	// endpoint is the last one it was sent to, waited and first are the times from its coming until it was sent and until the
-	// head of the answer came.
-	endpoint string
-	waited   time.Duration
-	first    time.Duration
+	// lastEndpoint is the last endpoint that the request was sent to. untilSent is the time from the receipt of the
+	// request until it was sent there, untilAnswered the time until the head of the answer arrived.
+	lastEndpoint  string
+	untilSent     time.Duration
+	untilAnswered time.Duration
 }
 
-// left returns what is left of the request's time.
-func (q *request) left() time.Duration { return clock.Until(q.endsAt) }
+// timeLeft returns the time until the deadline of the request.
+func (q *request) timeLeft() time.Duration { return clock.Until(q.deadline) }
 
-// tried notes what was asked of an owner or an endpoint.
-func (q *request) tried(who, what string) {
-	if len(q.tries) < maxTriesTold {
-		q.tries = append(q.tries, who+"="+what)
+// recordTry records the outcome of a try at an owner or an endpoint.
+func (q *request) recordTry(target, outcome string) {
+	if len(q.tries) < maxLoggedTries {
+		q.tries = append(q.tries, target+"="+outcome)
 	}
 }
 
-// truth returns what a caller that is still there may be told: that a request did not run only holds if no earlier try may have
-// run it, and what ended for want of a caller ended because the request's own time was over.
-func (q *request) truth(rerr *result.Error) *result.Error {
+// callerError returns the error for a caller that is still connected. The error states that the request did not run
+// only if no earlier try may have run it. CallerGone becomes DeadlineUnmet: since the caller is still connected, the
+// request ended because its own time was over.
+func (q *request) callerError(rerr *result.Error) *result.Error {
 	if rerr.Code == result.CallerGone {
 		rerr = &result.Error{Code: result.DeadlineUnmet, Detail: rerr.Detail}
 	}
-	return rerr.After(q.sent > 0)
+	return rerr.After(q.possibleRuns > 0)
 }
 
-// ServeHTTP serves one request.
-func (r *Relay) ServeHTTP(w http.ResponseWriter, in *http.Request) {
+// ServeHTTP forwards one request and sends the answer, or an error, to the caller.
+func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	r.inFlight.Add(1)
 	defer r.inFlight.Add(-1)
-	q, rerr := r.read(w, in)
+	q, rerr := r.readRequest(w, req)
 	if r.cfg.Leaving() > 0 {
 		w.Header().Set("Connection", "close")
 	}
 	if rerr == nil {
-		rerr = r.openFor(q)
+		rerr = r.refuseIfLeaving(q)
 	}
 	if rerr == nil {
-		rerr = r.held(q)
+		rerr = r.checkQuarantine(q)
 	}
 	if rerr == nil {
-		rerr = r.takeUnits(q)
+		rerr = r.chargeUnits(q)
 	}
 	if rerr != nil {
 		r.refuse(w, q, rerr)
 		return
 	}
-	ctx, cancel := context.WithTimeout(in.Context(), q.left())
+	ctx, cancel := context.WithTimeout(req.Context(), q.timeLeft())
 	defer cancel()
-	defer r.giveUnitsBack(q)
+	defer r.refundUnits(q)
 	r.budgets.earn(q.service)
 	out := &output{w: w}
-	if r.isModel(q) {
+	if r.isModelRequest(q) {
 		rerr = r.serveModel(ctx, out, q)
 	} else {
 		rerr = r.servePlain(ctx, out, q)
 	}
-	r.finish(in.Context(), out, q, rerr)
+	r.finish(req.Context(), out, q, rerr)
 }
 
-// openFor refuses requests that a leaving box could not finish.
-func (r *Relay) openFor(q *request) *result.Error {
-	leaving := r.cfg.Leaving()
-	if leaving == 0 {
+// refuseIfLeaving refuses requests that a leaving box could not finish.
+func (r *Relay) refuseIfLeaving(q *request) *result.Error {
+	leavingFor := r.cfg.Leaving()
+	if leavingFor == 0 {
 		return nil
 	}
-	last := r.cfg.LastRequest
+	acceptFor := r.cfg.LastRequest
 	if q.route.Kind == resource.RouteStream {
-		last = r.cfg.LastStream
+		acceptFor = r.cfg.LastStream
 	}
-	if leaving < last && !r.cfg.Closed() {
+	if leavingFor < acceptFor && !r.cfg.Closed() {
 		return nil
 	}
 	rerr := result.New(result.Leaving, "%s", r.cfg.Box)
-	rerr.RetryAfter = leavingRetry
+	rerr.RetryAfter = leavingRetryAfter
 	return rerr
 }
 
-// read finds the route of a request and takes its body in.
-func (r *Relay) read(w http.ResponseWriter, in *http.Request) (*request, *result.Error) {
-	q := &request{in: in, came: clock.Now()}
+// readRequest reads the headers and the body of a request, and finds its route and customer.
+func (r *Relay) readRequest(w http.ResponseWriter, req *http.Request) (*request, *result.Error) {
+	q := &request{incoming: req, receivedAt: clock.Now()}
 	table := r.cfg.Catalog.Topology().Routes
 	if table == nil {
 		return q, result.New(result.NotReady, "%s has no routes yet", r.cfg.Box)
 	}
-	head, err := r.cfg.Wire.ReadHead(in.Header)
+	head, err := r.cfg.Wire.ReadHead(req.Header)
 	if err != nil {
 		return q, result.New(result.BadRequest, "%v", err)
 	}
 	q.head = head
-	rt, ok := table.Lookup(in.Host, in.URL.Path)
+	rt, ok := table.Lookup(req.Host, req.URL.Path)
 	if !ok {
-		return q, r.unknown(q, result.New(result.NoRoute, "%s%s", in.Host, in.URL.Path))
+		return q, r.refuseUnknown(q, result.New(result.NoRoute, "%s%s", req.Host, req.URL.Path))
 	}
 	q.route, q.service = rt, route.Pick(rt, head.ID)
-	held := time.Duration(rt.Timeout)
+	timeout := time.Duration(rt.Timeout)
 	if head.Deadline > 0 {
-		held = min(held, head.Deadline)
+		timeout = min(timeout, head.Deadline)
 	}
-	q.endsAt = q.came.Add(held)
-	if rerr := r.identify(q, table); rerr != nil {
+	q.deadline = q.receivedAt.Add(timeout)
+	if rerr := r.identifyCustomer(q, table); rerr != nil {
 		return q, rerr
 	}
-	content, rerr := body.Read(w, in, bodyLimits(table.Limits(), q))
+	content, rerr := body.Read(w, req, bodyLimits(table.Limits(), q))
 	q.body = content
 	q.suspect = suspectOf(q)
 	return q, rerr
 }
 
-// bodyLimits bounds a request's body by the configuration's size and the request's own time.
+// bodyLimits returns the limits for reading a request body: the configured size and the time that the request has
+// left.
 func bodyLimits(limits resource.CallerLimits, q *request) body.Limits {
-	most := limits.BodyBytes
-	if most <= 0 {
-		most = defaultBody
+	maxBytes := limits.BodyBytes
+	if maxBytes <= 0 {
+		maxBytes = defaultMaxBody
 	}
-	return body.Limits{Bytes: most, Time: q.left()}
+	return body.Limits{Bytes: maxBytes, Time: q.timeLeft()}
 }
 
-// isModel reports whether a request goes to a model engine.
-func (r *Relay) isModel(q *request) bool {
+// isModelRequest reports whether a request must go to a model engine.
+func (r *Relay) isModelRequest(q *request) bool {
 	s, ok := r.cfg.Catalog.Topology().Routes.Service(q.service)
 	return ok && s.Engine != nil && q.head.Model != ""
 }
 
-// finish ends a request that was not answered whole.
-func (r *Relay) finish(caller context.Context, out *output, q *request, rerr *result.Error) {
+// finish records the end of a request. If the answer is incomplete, it sends an error or aborts the connection.
+func (r *Relay) finish(callerCtx context.Context, out *output, q *request, rerr *result.Error) {
 	if rerr == nil {
-		r.count(result.OK)
-		r.measure(q)
-		r.log(q, result.New(result.OK, ""))
+		r.countResult(result.OK)
+		r.recordLatencies(q)
+		r.logRequest(q, result.New(result.OK, ""))
 		return
 	}
 	switch {
-	case caller.Err() != nil:
+	case callerCtx.Err() != nil:
 		rerr = result.New(result.CallerGone, "%s", rerr.Error())
 	case !out.started:
-		rerr = q.truth(rerr)
+		rerr = q.callerError(rerr)
 	}
 	if !out.started {
 		r.refuse(out.w, q, rerr)
 		return
 	}
-	r.count(rerr.Code)
-	r.log(q, rerr)
-	// Breaking the connection shows the caller that the answer is not whole.
+	r.countResult(rerr.Code)
+	r.logRequest(q, rerr)
+	// Aborting the connection shows the caller that the answer is incomplete.
 	panic(http.ErrAbortHandler)
 }
 
-// refuse sends a failure of our own. What has not run is always said with a status that promises so.
+// refuse sends an error of this box to the caller. If the request did not run, the status is always one that
+// guarantees this.
 func (r *Relay) refuse(w http.ResponseWriter, q *request, rerr *result.Error) {
-	r.count(rerr.Code)
-	r.log(q, rerr)
+	r.countResult(rerr.Code)
+	r.logRequest(q, rerr)
 	info := rerr.Code.Info()
 	if wait := rerr.Wait(); info.Ran == result.RanNo && wait > 0 {
 		r.cfg.Wire.WriteRetryAfter(w.Header(), wait)
@@ -293,10 +302,10 @@
 	rerr.WriteStatus(w, status, q.head.ID)
 }
 
-// output is the answer to a caller.
+// output writes the answer to a caller.
 type output struct {
 	w       http.ResponseWriter
 	started bool
-	// beat, if set, is called for each event passed on.
-	beat func()
+	// onEvent, if set, is called for each event that arrives from the endpoint.
+	onEvent func()
 }
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// eventBuffer is the size of the reader of a stream; events of tens of bytes are usual.
+	// eventBuffer is the buffer size of a stream reader in bytes. Most events have tens of bytes.
 	eventBuffer = 4 << 10
-	// maxEvent bounds one event.
+	// maxEvent bounds the bytes of one event.
 	maxEvent = 1 << 20
 )
 
-// eventReader reads whole events of a stream.
+// eventReader reads a stream event by event.
 type eventReader struct {
 	lines *bufio.Reader
 	event []byte
@@ -26,8 +26,8 @@
 	return &eventReader{lines: bufio.NewReaderSize(body, eventBuffer)}
 }
 
-// next returns the next event with its blank line. The error is io.EOF at the end of a whole stream.
-// An event that breaks off is not returned. The slice is valid until the next call.
+// next returns the next event, including the blank line that ends it. The slice is valid until the next call. The
+// error is io.EOF at the end of a complete stream. With any error, the returned bytes are not a complete event.
 func (e *eventReader) next() ([]byte, error) {
 	e.event = e.event[:0]
 	for {
@@ -55,31 +55,31 @@
 	return len(line) == 1 || (len(line) == 2 && line[0] == '\r')
 }
 
-// copyEvents passes a stream on event by event and returns the id of the last event passed on.
-func (o *output) copyEvents(wire Wire, resp *http.Response, last string) (string, *result.Error) {
+// copyEvents forwards a stream event by event and returns the id of the last forwarded event.
+func (o *output) copyEvents(wire Wire, resp *http.Response, lastID string) (string, *result.Error) {
 	events := newEventReader(resp.Body)
 	rc := http.NewResponseController(o.w)
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
 			o.writeHead(resp)
-			return last, nil
+			return lastID, nil
 		}
 		if err != nil {
-			return last, result.Cut(result.StreamCut, err)
+			return lastID, result.Cut(result.StreamCut, err)
 		}
-		if o.beat != nil {
-			o.beat()
+		if o.onEvent != nil {
+			o.onEvent()
 		}
 		o.writeHead(resp)
 		if _, err := o.w.Write(event); err != nil {
-			return last, result.New(result.CallerGone, "%v", err)
+			return lastID, result.New(result.CallerGone, "%v", err)
 		}
 		if err := rc.Flush(); err != nil {
-			return last, result.New(result.CallerGone, "%v", err)
+			return lastID, result.New(result.CallerGone, "%v", err)
 		}
 		if id := wire.EventID(event); id != "" {
-			last = id
+			lastID = id
 		}
 	}
 }
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -8,30 +8,31 @@
 	"github.com/bellgap/bellgap/internal/owner"
 )
 
-// Head is what the headers of a request say, whatever their names.
+// Head holds the values of a request's headers, independent of the names of the headers.
 type Head struct {
-	// ID names this attempt of the caller; endpoints return it with the answer.
+	// ID identifies this attempt of the caller. Endpoints return it with the answer.
 	ID string
-	// Deadline is how long the caller waits; zero if it does not say.
+	// Deadline is how long the caller waits, zero if the caller sets no limit.
 	Deadline time.Duration
-	// Model is the base model, Adapter the adapter of it; both empty for plain services.
+	// Model is the base model, Adapter the adapter of that model. Both are empty for plain services.
 	Model   string
 	Adapter string
-	// Prompt and Output count the tokens to read and, at most, to write; OutputHint is the caller's guess.
+	// Prompt is the number of tokens in the prompt, Output the maximum number of tokens in the answer. OutputHint is the
+	// caller's estimate of the tokens in the answer.
 	Prompt     int
 	Output     int
 	OutputHint int
-	// Counted says that Prompt and Output were named.
+	// Counted is set if the caller sent Prompt and Output.
 	Counted bool
-	// Key is the customer's key, empty if there is none or more than one.
+	// Key is the key of the customer, empty if the request has none or more than one.
 	Key string
-	// Parts are those of the prompt, in order; other requests may share all but the last.
+	// Parts lists the parts of the prompt in order. Other requests may share all parts except the last one.
 	Parts []owner.Part
-	// LastEvent is the id of the last event that the caller has, if it takes up a broken stream.
+	// LastEvent is the id of the last event that the caller received, if it resumes a broken stream.
 	LastEvent string
 }
 
-// expectedOutput returns how many tokens the answer will probably have.
+// expectedOutput returns the expected number of tokens in the answer.
 func (h *Head) expectedOutput() int {
 	if h.OutputHint > 0 {
 		return min(h.OutputHint, h.Output)
@@ -39,50 +40,50 @@
 	return h.Output
 }
 
-// Attempt is what one endpoint is told beside what the caller sent.
+// Attempt holds what is sent to one endpoint in addition to the caller's request.
 type Attempt struct {
-	// Instance is the id of the endpoint; any other one at its address refuses the request.
+	// Instance is the id of the endpoint. Any other endpoint at its address refuses the request.
 	Instance string
-	// Deadline is what is left of the request's time.
+	// Deadline is the time that the request has left.
 	Deadline time.Duration
-	// Version, if not zero, is the version that the adapter must have.
+	// Version is the version that the adapter must have, zero for any version.
 	Version int64
 	// Priority is the rank of the request, 0 first.
 	Priority int
-	// LastEvent takes a stream up after the event with this id.
+	// LastEvent, if set, is the id of the event after which the stream is resumed.
 	LastEvent string
-	// Keyed says that callers name customers by keys: the key stays here, and Customer is the name that the endpoint gets, empty for
-	// requests on open routes.
+	// Keyed is set if callers identify customers by keys. The key is then not forwarded. Instead, the endpoint receives
+	// the name of the customer in Customer, which is empty for requests on open routes.
 	Keyed    bool
 	Customer string
 }
 
-// AnswerHead is what the headers of an endpoint's answer say.
+// AnswerHead holds the values of the headers of an endpoint's answer.
 type AnswerHead struct {
-	// ID is that of the request that the answer belongs to.
+	// ID is the id of the request that the answer belongs to.
 	ID string
-	// Sealed says that the answer carries the endpoint's signature.
+	// Sealed is set if the answer carries the endpoint's signature.
 	Sealed bool
-	// NotRun says that the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Elsewhere says that the request was for another instance, model or version than the one here.
+	// Elsewhere is set if the request was for another instance, model or version than that of the endpoint.
 	Elsewhere bool
-	// Instance is the id of the endpoint that answered, empty if it does not say.
+	// Instance is the id of the endpoint that answered, empty if the answer does not contain it.
 	Instance string
-	// Notice is what the endpoint says of itself.
+	// Notice is the notice that the endpoint sent about itself.
 	Notice notice.Word
 }
 
-// Wire names the headers of callers and endpoints. It is an interface at the network boundary.
+// Wire reads and writes the headers of callers and endpoints. It is the interface at the network boundary.
 type Wire interface {
 	// ReadHead reads a caller's headers.
 	ReadHead(h http.Header) (Head, error)
-	// WriteAttempt sets the headers for an endpoint and removes those that callers may not set.
+	// WriteAttempt sets the headers for an endpoint and removes headers that callers must not set.
 	WriteAttempt(h http.Header, a Attempt)
 	// ReadAnswer reads the headers of an endpoint's answer.
 	ReadAnswer(status int, h http.Header) AnswerHead
-	// WriteRetryAfter tells a caller when to come back.
+	// WriteRetryAfter sets the header that states when the caller may retry.
 	WriteRetryAfter(h http.Header, d time.Duration)
-	// EventID returns the id that a stream's event carries.
+	// EventID returns the id of a stream's event, empty if the event has none.
 	EventID(event []byte) string
 }
