--- a/internal/follow/age_test.go
+++ b/internal/follow/age_test.go
@@ -18,33 +18,34 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// versions is a kind that seldom changes.
-const versions = "AdapterVersion"
+// versionKind is a kind that seldom changes.
+const versionKind = "AdapterVersion"
 
-// endingSource lists nothing and ends the first watch of adapter versions in a way that is set; all others wait.
-type endingSource struct {
-	after time.Duration
-	err   error
-	// failing says that every call for the kind after it fails too.
-	failing bool
-	ended   atomic.Bool
+// failingWatchSource returns empty lists. Its first watch of adapter versions fails with err after failAfter. All other watches
+// wait for their whole time.
+type failingWatchSource struct {
+	failAfter time.Duration
+	err       error
+	// keepFailing makes all later calls for the kind fail too.
+	keepFailing bool
+	failed      atomic.Bool
 }
 
-func (s *endingSource) List(_ context.Context, kinds []string, _ string) (objects.Changes, error) {
-	if kinds[0] == versions && s.ended.Load() && s.failing {
+func (s *failingWatchSource) List(_ context.Context, kinds []string, _ string) (objects.Changes, error) {
+	if kinds[0] == versionKind && s.failed.Load() && s.keepFailing {
 		return objects.Changes{}, s.err
 	}
 	return objects.Changes{Revision: 7}, nil
 }
 
-func (s *endingSource) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
+func (s *failingWatchSource) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	var err error
-	if kinds[0] == versions && (s.failing || !s.ended.Load()) {
+	if kinds[0] == versionKind && (s.keepFailing || !s.failed.Load()) {
 		err = s.err
-		if s.ended.Swap(true) {
+		if s.failed.Swap(true) {
 			return objects.Changes{}, err
 		}
-		wait = s.after
+		wait = s.failAfter
 	}
 	select {
 	case <-time.After(wait):
@@ -54,37 +55,38 @@
 	}
 }
 
-// TestAgeOfWhatIsTold: the pattern is one watch of a kind that seldom changes ending otherwise than by an answer, 2.5 s after the call before.
-// Where the store goes on answering, the age that other boxes are told must not send them all to the store; where it does not, it must.
-func TestAgeOfWhatIsTold(t *testing.T) {
-	const enough = 1300 * time.Millisecond
+// TestReportedAgeAfterWatchFails ends one watch of a seldom changing kind without an answer, 2.5 s or more after the previous
+// call. If the store continues to answer, the age sent to other boxes must not make all of them call the store. If it does not
+// answer, it must.
+func TestReportedAgeAfterWatchFails(t *testing.T) {
+	const maxAge = 1300 * time.Millisecond
 	for _, test := range []struct {
-		name    string
-		after   time.Duration
-		err     error
-		failing bool
-		// old says that the age shows.
-		old bool
+		name        string
+		failAfter   time.Duration
+		err         error
+		keepFailing bool
+		// wantStale is set if the age must exceed maxAge.
+		wantStale bool
 	}{
-		{name: "the history is gone", after: 2500 * time.Millisecond, err: objects.ErrGone},
-		{name: "cut while it waits", after: 2500 * time.Millisecond, err: errors.New("reset")},
-		{name: "cut while it waits, and all calls after it fail", after: 2500 * time.Millisecond, err: errors.New("reset"), failing: true, old: true},
-		{name: "not answered, as after the history was forgotten", after: 3500 * time.Millisecond, err: context.DeadlineExceeded},
-		{name: "not answered, nor any call after it", after: 3100 * time.Millisecond, err: context.DeadlineExceeded, failing: true, old: true},
+		{name: "history lost", failAfter: 2500 * time.Millisecond, err: objects.ErrGone},
+		{name: "connection lost while waiting", failAfter: 2500 * time.Millisecond, err: errors.New("reset")},
+		{name: "connection lost while waiting, later calls fail", failAfter: 2500 * time.Millisecond, err: errors.New("reset"), keepFailing: true, wantStale: true},
+		{name: "no answer after the history was lost", failAfter: 3500 * time.Millisecond, err: context.DeadlineExceeded},
+		{name: "no answer, later calls fail", failAfter: 3100 * time.Millisecond, err: context.DeadlineExceeded, keepFailing: true, wantStale: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
 				f := follow.New(follow.Config{
-					Source: &endingSource{after: test.after, err: test.err, failing: test.failing}, Catalog: catalog.New(), Scope: tally.NoopScope,
-					Kinds: []follow.Kind{{Name: versions, Wait: 3 * time.Second, Relayed: true}, {Name: "Endpoint", Wait: 700 * time.Millisecond, Relayed: true, Probes: true}},
+					Source: &failingWatchSource{failAfter: test.failAfter, err: test.err, keepFailing: test.keepFailing}, Catalog: catalog.New(), Scope: tally.NoopScope,
+					Kinds: []follow.Kind{{Name: versionKind, Wait: 3 * time.Second, Relayed: true}, {Name: "Endpoint", Wait: 700 * time.Millisecond, Relayed: true, Probes: true}},
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				var group errgroup.Group
 				group.Go(func() error { return f.Serve(ctx) })
-				time.Sleep(test.after + 400*time.Millisecond)
-				_, age := f.Since(map[string]objects.Position{versions: 7})
-				c.Check(age > enough, qt.Equals, test.old, qt.Commentf("told %s", age))
+				time.Sleep(test.failAfter + 400*time.Millisecond)
+				_, age := f.Since(map[string]objects.Position{versionKind: 7})
+				c.Check(age > maxAge, qt.Equals, test.wantStale, qt.Commentf("reported age %s", age))
 				cancel()
 				c.Check(group.Wait(), qt.ErrorIs, context.Canceled)
 			})
@@ -92,14 +94,15 @@
 	}
 }
 
-// TestAgeAfterAnotherBoxWasHeard: the pattern is a box that has had its changes through another one for long, and whose first own calls fail
-// when heartbeats end. What it tells is as old as the last word of the other box, and not as its own call ten seconds before.
-func TestAgeAfterAnotherBoxWasHeard(t *testing.T) {
-	relayed(t, func(c *qt.C, _ *store, _, to *side, beating *atomic.Bool) {
-		to.source.cutFrom.Store(string(resource.KindRouting))
-		beating.Store(false)
+// TestReportedAgeCountsFromLastHeartbeat checks a box that has long received its changes from another box, and whose first own
+// calls fail when heartbeats end. The age that it sends counts from the last heartbeat, not from its own previous call ten
+// seconds earlier.
+func TestReportedAgeCountsFromLastHeartbeat(t *testing.T) {
+	runRelaying(t, func(c *qt.C, _ *fakeStore, _, receiver *box, heartbeatsOn *atomic.Bool) {
+		receiver.source.cutKind.Store(string(resource.KindRouting))
+		heartbeatsOn.Store(false)
 		time.Sleep(9 * time.Second)
-		_, age := to.Since(to.Known())
-		c.Check(age > 5*time.Second && age < 12*time.Second, qt.IsTrue, qt.Commentf("told %s", age))
+		_, age := receiver.Since(receiver.Known())
+		c.Check(age > 5*time.Second && age < 12*time.Second, qt.IsTrue, qt.Commentf("reported age %s", age))
 	})
 }
--- a/internal/follow/confirm.go
+++ b/internal/follow/confirm.go
@@ -7,54 +7,58 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// What a box knows of a kind is confirmed as of a moment: all that the store had acknowledged before it is known here. A call confirms the moment
-// at which it began, as the store may have answered at any time after that, and a watch that ends without changes may have been deaf since: a store
-// that forgets its history leaves such. Another box's word confirms the moment at which it was asked for,
-// less the age that it names. So a confirmation that was held up, read late or passed on twice is older than the truth, never younger.
+// A kind is confirmed as of a time if all changes that the store acknowledged before that time are known here.
+//
+// A call confirms the time at which it began, because the store may have answered at any time after that. A watch that ends
+// without changes confirms no later time either, because it may have missed changes: a store that loses its history leaves such
+// watches behind. A confirmation from another box confirms the time at which it was requested, less the age that it contains. A
+// confirmation that was delayed, read late or relayed twice is therefore reported as older than it is, never as more recent.
 
-// confirm notes that a kind is known as of a moment.
-func (f *Follower) confirm(kind string, at time.Time) {
+// recordConfirmed records that a kind is confirmed as of a time.
+func (f *Follower) recordConfirmed(kind string, at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.of(kind).confirmAt(at)
+	f.statusOf(kind).advanceConfirmed(at)
 }
 
-func (k *knowledge) confirmAt(at time.Time) {
-	if at.After(k.confirmed) {
-		k.confirmed = at
+func (k *kindStatus) advanceConfirmed(at time.Time) {
+	if at.After(k.confirmedAt) {
+		k.confirmedAt = at
 	}
 }
 
-// ConfirmedAt returns the moment as of which a kind is known here, zero if it is not.
+// ConfirmedAt returns the time as of which a kind is confirmed, zero if it is not.
 func (f *Follower) ConfirmedAt(kind string) time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.of(kind).confirmed
+	return f.statusOf(kind).confirmedAt
 }
 
-// Confirmed returns the age of what is known here, for another box. It has to be asked before what is told with it.
+// Confirmed returns the age of this box's data of each confirmed kind, for another box. It must be called before reading the
+// changes that are sent with it, so that these include the confirmed revision.
 func (f *Follower) Confirmed() map[string]objects.Confirmation {
 	now := clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := map[string]objects.Confirmation{}
+	confirmations := map[string]objects.Confirmation{}
 	for _, k := range f.cfg.Kinds {
-		own := f.of(k.Name)
-		if k.Confirmed && own.known > 0 && !own.confirmed.IsZero() {
-			out[k.Name] = objects.Confirmation{Revision: own.known, Age: now.Sub(own.confirmed)}
+		status := f.statusOf(k.Name)
+		if k.Confirmed && status.knownRevision > 0 && !status.confirmedAt.IsZero() {
+			confirmations[k.Name] = objects.Confirmation{Revision: status.knownRevision, Age: now.Sub(status.confirmedAt)}
 		}
 	}
-	return out
+	return confirmations
 }
 
-// Confirm takes another box's ages in, after what it told with them. The question for them was sent at askedAt.
-func (f *Follower) Confirm(told map[string]objects.Confirmation, askedAt time.Time) {
+// Confirm applies the ages that another box sent, after the changes sent with them were applied. The request for them was sent
+// at requestedAt.
+func (f *Follower) Confirm(received map[string]objects.Confirmation, requestedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for kind, c := range told {
-		// A box that lacks what the teller knows, as it was too large to be passed on, has to ask the store.
-		if own := f.of(kind); c.Age >= 0 && own.known >= c.Revision && own.known.Era() == c.Revision.Era() {
-			own.confirmAt(askedAt.Add(-c.Age))
+	for kind, c := range received {
+		// A box may lack changes of the sender that were too large to be relayed. It then has to call the store.
+		if status := f.statusOf(kind); c.Age >= 0 && status.knownRevision >= c.Revision && status.knownRevision.Era() == c.Revision.Era() {
+			status.advanceConfirmed(requestedAt.Add(-c.Age))
 		}
 	}
 }
--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -19,56 +19,58 @@
 
 const routingKind = string(resource.KindRouting)
 
-// chain is boxes of which the first asks the store and each other one the box before it, by messages that may be held up either way.
-type chain struct {
+// relayChain is a chain of boxes. The first one calls the store, and each other one requests changes from the box before it.
+// Messages may be delayed in either direction.
+type relayChain struct {
 	boxes []*follow.Follower
-	// slow is the longest that a message takes one way.
-	slow time.Duration
+	// maxDelay is the longest time that a message takes in one direction.
+	maxDelay time.Duration
 }
 
 func confirmedKinds() []follow.Kind {
 	return []follow.Kind{{Name: routingKind, Wait: 700 * time.Millisecond, Relayed: true, Confirmed: true}}
 }
 
-func newChain(s *store, boxes int) *chain {
-	ch := &chain{}
+func newRelayChain(s *fakeStore, boxes int) *relayChain {
+	ch := &relayChain{}
 	for range boxes {
 		ch.boxes = append(ch.boxes, follow.New(follow.Config{Source: s, Catalog: catalog.New(), Scope: tally.NoopScope, Kinds: confirmedKinds()}))
 	}
 	return ch
 }
 
-// pass brings what a box knows to the next one, as a heartbeat and its reply do.
-func (ch *chain) pass(rng *rand.Rand, from, to *follow.Follower) {
-	askedAt, known := time.Now(), to.Known()
-	time.Sleep(time.Duration(rng.Int64N(int64(ch.slow))))
-	confirmed := from.Confirmed()
-	changes, age := from.Since(known)
-	time.Sleep(time.Duration(rng.Int64N(int64(ch.slow))))
-	to.Take(changes, age)
-	to.Confirm(confirmed, askedAt)
+// relay sends what one box knows to the next box, like a heartbeat and its reply.
+func (ch *relayChain) relay(rng *rand.Rand, sender, receiver *follow.Follower) {
+	requestedAt, known := time.Now(), receiver.Known()
+	time.Sleep(time.Duration(rng.Int64N(int64(ch.maxDelay))))
+	confirmed := sender.Confirmed()
+	changes, age := sender.Since(known)
+	time.Sleep(time.Duration(rng.Int64N(int64(ch.maxDelay))))
+	receiver.Take(changes, age)
+	receiver.Confirm(confirmed, requestedAt)
 }
 
-// TestWordIsNeverYoungerThanItIs: the store answers until a moment and not after it, as where a box is cut off, and messages between the boxes are
-// held up for up to two seconds each way. Whatever was acknowledged after that moment no box can know, so none may count as knowing it.
-func TestWordIsNeverYoungerThanItIs(t *testing.T) {
+// TestConfirmationIsNeverTooRecent has the store answer up to a moment and not after it, as for a box that is cut off, while
+// messages between the boxes are delayed by up to two seconds in each direction. No box can know a change that is acknowledged
+// after that moment, so no box may be confirmed as of a later time.
+func TestConfirmationIsNeverTooRecent(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		slow time.Duration
-		// fresh is how old the last box's word may be while all is well: a third of the time in which keys are revoked, and more where
-		// messages are slow.
-		fresh time.Duration
+		name     string
+		maxDelay time.Duration
+		// maxAge bounds the age of the last box's confirmation while the store answers: a third of the time in which keys are
+		// revoked, and more if messages are slow.
+		maxAge time.Duration
 	}{
-		{"messages pass", 5 * time.Millisecond, 2700 * time.Millisecond},
-		{"messages are held up", 2 * time.Second, 16 * time.Second},
+		{"messages are fast", 5 * time.Millisecond, 2700 * time.Millisecond},
+		{"messages are delayed", 2 * time.Second, 16 * time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newStore()
+				s := newFakeStore()
 				s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
-				ch := newChain(s, 3)
-				ch.slow = test.slow
+				ch := newRelayChain(s, 3)
+				ch.maxDelay = test.maxDelay
 				ctx, cancel := context.WithCancel(t.Context())
 				var group errgroup.Group
 				group.Go(func() error { return ch.boxes[0].Serve(ctx) })
@@ -76,7 +78,7 @@
 					rng := rand.New(rand.NewPCG(uint64(i), 7))
 					group.Go(func() error {
 						for ctx.Err() == nil {
-							ch.pass(rng, ch.boxes[i], ch.boxes[i+1])
+							ch.relay(rng, ch.boxes[i], ch.boxes[i+1])
 							time.Sleep(400 * time.Millisecond)
 						}
 						return nil
@@ -84,14 +86,14 @@
 				}
 				time.Sleep(15 * time.Second)
 				for _, b := range ch.boxes {
-					c.Check(time.Since(b.ConfirmedAt(routingKind)) < test.fresh, qt.IsTrue, qt.Commentf("%s", time.Since(b.ConfirmedAt(routingKind))))
+					c.Check(time.Since(b.ConfirmedAt(routingKind)) < test.maxAge, qt.IsTrue, qt.Commentf("%s", time.Since(b.ConfirmedAt(routingKind))))
 				}
-				lost := time.Now()
-				s.set(func(s *store) { s.down, s.hangs = true, 900*time.Millisecond })
+				lostAt := time.Now()
+				s.update(func(s *fakeStore) { s.down, s.hangTime = true, 900*time.Millisecond })
 				for range 300 {
 					time.Sleep(50 * time.Millisecond)
 					for i, b := range ch.boxes {
-						c.Assert(b.ConfirmedAt(routingKind).After(lost), qt.IsFalse, qt.Commentf("box %d", i))
+						c.Assert(b.ConfirmedAt(routingKind).After(lostAt), qt.IsFalse, qt.Commentf("box %d", i))
 					}
 				}
 				cancel()
@@ -101,21 +103,22 @@
 	}
 }
 
-// TestWordNeedsWhatItIsAbout: a box that was not told a change, as it was too large, is not confirmed by the age that came beside it.
-func TestWordNeedsWhatItIsAbout(t *testing.T) {
+// TestConfirmationNeedsMatchingRevision checks that a box which lacks a change, because it was too large to be sent, is not
+// confirmed by the age sent with the reply.
+func TestConfirmationNeedsMatchingRevision(t *testing.T) {
 	c := qt.New(t)
 	f := follow.New(follow.Config{Catalog: catalog.New(), Scope: tally.NoopScope, Kinds: confirmedKinds()})
 	now := time.Now()
-	told := func(revision objects.Position) map[string]objects.Confirmation {
+	confirmation := func(revision objects.Position) map[string]objects.Confirmation {
 		return map[string]objects.Confirmation{routingKind: {Revision: revision, Age: time.Second}}
 	}
 	f.Take([]objects.KindChanges{{Kind: routingKind, Revision: 5}}, 0)
-	f.Confirm(told(6), now)
+	f.Confirm(confirmation(6), now)
 	c.Check(f.ConfirmedAt(routingKind).IsZero(), qt.IsTrue)
-	f.Confirm(told(5), now)
+	f.Confirm(confirmation(5), now)
 	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue)
-	f.Confirm(told(5), now.Add(-time.Second))
-	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue, qt.Commentf("an older word changes nothing"))
+	f.Confirm(confirmation(5), now.Add(-time.Second))
+	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue, qt.Commentf("an older confirmation has no effect"))
 	f.Confirm(map[string]objects.Confirmation{routingKind: {Revision: 5, Age: -time.Hour}}, now)
-	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue, qt.Commentf("a negative age is no age"))
+	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue, qt.Commentf("a negative age is ignored"))
 }
--- a/internal/follow/era.go
+++ b/internal/follow/era.go
@@ -9,83 +9,89 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// When the store has come back from an older copy, in a new era, each kind crosses over by its first list or by another box's word. What is in force stays so:
-// objects that the copy lacks are kept for Config.Grace, as they are written again if they are still meant; objects that the copy has and that have gone since
-// are withheld for withholdTime, unless they are written again; and what is older in the copy by its own generation is passed over by the catalog.
+// When the store is restored from an older copy, a new era begins. Each kind switches to the new era with its first list or
+// with changes from another box. Objects that are in force stay in force:
+//   - Objects that the copy lacks are kept for Config.Grace, because they are written again if they are still valid.
+//   - Objects that the copy has but that were deleted since are withheld for withholdTime, unless they are written again.
+//   - Objects that are older in the copy, by their own generation, are skipped by the catalog.
 
-// withholdTime is how long after the store has come back an object that had gone is not believed to be there: entries that nobody writes lapse within it.
+// withholdTime is how long after a restore of the store an object that had been deleted before stays withheld. Entries that
+// nobody renews expire within this time.
 const withholdTime = 5 * time.Second
 
-// Restored is what a box shows of the last time that the store came back from an older copy.
+// Restored describes the last restore of the store from an older copy, as shown to operators.
 type Restored struct {
-	// Era is the one that began then, zero if this box has seen none begin; Ago is how long ago it heard of that.
+	// Era is the era that began with the restore, zero if this box has detected none. Ago is the time since this box detected
+	// it.
 	Era int64         `json:"era"`
 	Ago time.Duration `json:"ago"`
-	// Kept counts the objects that are in force though the store lacks them, Withheld those that it has again and that are not in force.
+	// Kept counts the objects that are in force although the store lacks them. Withheld counts those that the store has again
+	// and that are not in force.
 	Kept     int `json:"kept"`
 	Withheld int `json:"withheld"`
 }
 
-// Restored returns what is to be shown of the last restore of the store.
+// Restored returns the state of the last restore of the store.
 func (f *Follower) Restored() Restored {
 	withheld := f.cfg.Catalog.Withheld()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := f.restored
+	r := f.lastRestore
 	if r.Era == 0 {
 		return r
 	}
-	r.Ago, r.Withheld = clock.Since(f.restoredAt), withheld
-	for _, k := range f.kinds {
-		r.Kept += k.kept
+	r.Ago, r.Withheld = clock.Since(f.lastRestoreAt), withheld
+	for _, k := range f.statuses {
+		r.Kept += k.keptObjects
 	}
 	return r
 }
 
-// cross begins a new era of a kind if revision is of one. The caller takes in what it has heard after that.
-func (f *Follower) cross(kind string, revision objects.Position) (crossed bool) {
+// detectNewEra switches a kind to the era of revision if that era is new. The caller applies the received changes after that.
+func (f *Follower) detectNewEra(kind string, revision objects.Position) (isNew bool) {
 	now := clock.Now()
 	f.mu.Lock()
-	k := f.of(kind)
-	known := k.known
-	crossed = known > 0 && revision.Era() > known.Era()
-	if crossed {
-		k.crossedFrom, k.crossedAt = known, now
-		if revision.Era() > f.restored.Era {
-			f.restored, f.restoredAt = Restored{Era: revision.Era()}, now
+	k := f.statusOf(kind)
+	previous := k.knownRevision
+	isNew = previous > 0 && revision.Era() > previous.Era()
+	if isNew {
+		k.previousEraRevision, k.eraChangedAt = previous, now
+		if revision.Era() > f.lastRestore.Era {
+			f.lastRestore, f.lastRestoreAt = Restored{Era: revision.Era()}, now
 		}
 	}
 	f.mu.Unlock()
-	if !crossed {
+	if !isNew {
 		return false
 	}
 	f.cfg.Catalog.Withhold(kind)
 	f.cfg.Scope.Counter("store_eras_crossed").Inc(1)
 	f.cfg.Scope.Gauge("store_era").Update(float64(revision.Era()))
-	klog.InfoS("store era", "kind", kind, "was", known.Era(), "is", revision.Era(), "known", known, "revision", revision)
+	klog.InfoS("store restored from an older copy; new era begins",
+		"kind", kind, "was", previous.Era(), "is", revision.Era(), "known", previous, "revision", revision)
 	return true
 }
 
-// keepUntil returns until when objects that a list lacks are kept: while a new era begins, any that are not of the box's own making have time to be written
-// again.
-func (f *Follower) keepUntil(k *kindState) time.Time {
-	until := f.graceUntil(k)
+// keepMissingUntil returns until when objects that a list lacks are kept. After the start of a new era, objects that are not
+// this fleet's own have Config.Grace to be written again.
+func (f *Follower) keepMissingUntil(k *kindWatcher) time.Time {
+	until := f.outageGraceUntil(k)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at := f.of(k.Name).crossedAt; !at.IsZero() && at.Add(f.cfg.Grace).After(until) {
+	if at := f.statusOf(k.Name).eraChangedAt; !at.IsZero() && at.Add(f.cfg.Grace).After(until) {
 		until = at.Add(f.cfg.Grace)
 	}
 	return until
 }
 
-// admit takes in what was withheld of a kind and is still there once that time is over. Other boxes know the store's revision already, so they are told of
-// it like of a late deletion.
-func (f *Follower) admit(kind string, now time.Time) {
+// admitWithheld applies the withheld objects of a kind that still exist after withholdTime. Other boxes know the store's
+// revision already, so they are sent these objects like late deletions.
+func (f *Follower) admitWithheld(kind string, now time.Time) {
 	f.mu.Lock()
-	k := f.of(kind)
-	due := !k.crossedAt.IsZero() && now.Sub(k.crossedAt) >= withholdTime
+	k := f.statusOf(kind)
+	due := !k.eraChangedAt.IsZero() && now.Sub(k.eraChangedAt) >= withholdTime
 	if due {
-		k.crossedAt = time.Time{}
+		k.eraChangedAt = time.Time{}
 	}
 	f.mu.Unlock()
 	if !due {
@@ -95,21 +101,21 @@
 	if len(all) == 0 {
 		return
 	}
-	back, _ := told(all)
-	klog.InfoS("objects that had gone are there again", "kind", kind, "names", back, "objects", len(all))
+	names, _ := loggedNames(all)
+	klog.InfoS("withheld objects in force again", "kind", kind, "names", names, "objects", len(all))
 	f.cfg.Scope.Counter("objects_admitted").Inc(int64(len(all)))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, o := range all {
-		f.late = append(f.late, lateChange{o, now})
+		f.lateChanges = append(f.lateChanges, lateChange{o, now})
 	}
 }
 
-// spans reports whether what is known of a kind here tells all that has changed since a position that another box names: one of the same era, or that at
-// which this box itself crossed over from the one before.
-func (f *Follower) spans(kind string, from objects.Position) bool {
+// coversSince reports whether this box knows all changes of a kind since a position that another box sent. The position must be
+// of the same era, or the one at which this box switched from the previous era.
+func (f *Follower) coversSince(kind string, from objects.Position) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := f.of(kind)
-	return from.Era() == k.known.Era() || from == k.crossedFrom
+	k := f.statusOf(kind)
+	return from.Era() == k.knownRevision.Era() || from == k.previousEraRevision
 }
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,4 @@
-// Package follow keeps a catalog up to date with kinds of objects that are each listed and watched on their own.
+// Package follow keeps a catalog up to date by listing and watching each kind of object separately.
 package follow
 
 import (
@@ -20,34 +20,36 @@
 	"github.com/bellgap/bellgap/internal/part"
 )
 
-// Source lists and watches objects of one kind at a time. It is an interface at the network boundary.
+// Source lists and watches the objects of one kind at a time. It is an interface because its calls cross the network.
 type Source interface {
 	List(ctx context.Context, kinds []string, after string) (objects.Changes, error)
 	Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error)
 }
 
-// Kind says how one kind of objects is followed.
+// Kind configures how one kind of object is followed.
 type Kind struct {
 	Name string
-	// Pace is the least time between two calls: kinds that change all the time are taken in as often as that.
+	// Pace is the minimum time between the starts of two calls. It limits how often kinds that change constantly are read.
 	Pace time.Duration
-	// Wait is how long a watch waits for changes.
+	// Wait is how long a watch waits for changes before it returns without any.
 	Wait time.Duration
-	// Lapses says that objects of the kind may be missing for a while after an outage of the store though nothing has
-	// removed them; Config.Grace is how long they are kept then.
+	// Lapses marks an expiring kind: after a store outage, its objects may be missing for a while although nobody removed them.
+	// They are then kept for Config.Grace.
 	Lapses bool
-	// With names kinds that come and go with this one, under the same names.
+	// With names the companion kinds. Their objects exist only together with the object of this kind that has the same name.
 	With []string
-	// Relayed kinds are passed on to other boxes.
+	// Relayed is set if changes of the kind are sent to other boxes.
 	Relayed bool
-	// Confirmed kinds are told to other boxes with the age of what is known of them.
+	// Confirmed is set if other boxes are also sent the age of this box's data of the kind.
 	Confirmed bool
-	// TellWait is how long a watch waits on a box that tells others, if not zero: their word is as old as its last watch, and more.
+	// TellWait, if not zero, replaces Wait on a box that relays changes. The data of the receiving boxes is at least as old as
+	// the last watch of the relaying box.
 	TellWait time.Duration
-	// Ours says that the objects of the kind are this fleet's own: those that an older copy of the store lacks stay in force until others take their place.
+	// Ours is set if the objects of the kind belong to this fleet alone. Objects that an older copy of the store lacks then stay
+	// in force until others replace them.
 	Ours bool
-	// Probes says that while the store is lost, calls for this kind alone find out whether it is back: each call is paid for, also
-	// one that fails. Without such a kind all go on calling.
+	// Probes is set if, while the store is lost, calls for this kind test whether it is back and the other kinds make no calls.
+	// Every call is charged, even one that fails. If there is no such kind, all kinds continue to make calls.
 	Probes bool
 }
 
@@ -56,81 +58,90 @@
 	Source  Source
 	Catalog *catalog.Catalog
 	Kinds   []Kind
-	// RelayFor is how long changes taken from another box stand in for calls of this one; zero always calls.
+	// RelayFor is how long changes received from another box replace this box's own calls. Zero means that this box always calls
+	// the store.
 	RelayFor time.Duration
-	// FirstWatch is how long after its first list a kind is not watched yet. Heartbeats begin meanwhile and bring what has changed since; when
-	// all boxes start at once, each change of the cell map would wake the watch of every one of them (five calls a box).
+	// FirstWatch is the delay between the first list of a kind and its first watch. Heartbeats begin in this time and bring the
+	// changes made since the list. Without the delay, when all boxes start at once, each change of the cell map would end the
+	// watch of every box (five calls per box).
 	FirstWatch time.Duration
-	// TellRate is how many bytes of large changes are passed on in a second, over all boxes; zero stands for defaultTellRate.
+	// TellRate limits the bytes of large changes that are sent per second, summed over all receiving boxes. Zero means
+	// defaultRelayRate.
 	TellRate float64
-	// Grace is how long after an outage missing objects of kinds that lapse are kept.
+	// Grace is how long missing objects are kept: those of expiring kinds after an outage, and those of all kinds after the
+	// store was restored from an older copy.
 	Grace time.Duration
 	Scope tally.Scope
 }
 
 const (
-	// minBackoff and maxBackoff bound the pause after a failed call: short enough for a change to be in force a second after
-	// the store is back, long enough not to press a store that is refusing calls.
+	// minBackoff and maxBackoff bound the pause after a failed call. They are short enough for a change to apply within a second
+	// of the store's return, and long enough not to overload a store that refuses calls.
 	minBackoff = 250 * time.Millisecond
 	maxBackoff = time.Second
-	// minPause is the least pause after a failed call.
+	// minPause is the minimum pause after a failed call. A watch that fails sooner than this was refused, not cut while it
+	// waited.
 	minPause = 100 * time.Millisecond
-	// probeWait is how long a watch waits that is to find out whether the store is back: waiting for a change would keep the other
-	// kinds from calling for as long.
+	// probeWait is how long a watch waits while the store is lost. The other kinds make no calls until the watch returns, so it
+	// must not wait for changes.
 	probeWait = time.Millisecond
-	// relayLook is how often a follower whose changes come through another box looks whether they still do.
-	relayLook = 100 * time.Millisecond
-	// relayAge is how old the other box's own knowledge may be: a second and a bit is what a look at the endpoints takes when
-	// the store does not answer.
-	relayAge = 1300 * time.Millisecond
+	// relayCheckInterval is how often a follower that makes no calls checks whether it has to make calls again.
+	relayCheckInterval = 100 * time.Millisecond
+	// maxRelayedAge is the maximum age of the other box's data for which relayed changes replace calls. A call for the endpoints
+	// takes slightly more than a second when the store does not answer.
+	maxRelayedAge = 1300 * time.Millisecond
 )
 
-// errWoken ends a watch that is to be begun again because another call has shown that it may hear nothing.
-var errWoken = errors.New("follow: woken")
+// errInterrupted is the result of a call that was canceled because another call showed that it may never be answered. The
+// canceled call is repeated.
+var errInterrupted = errors.New("follow: call interrupted")
 
-// errCut ends a watch that was cut while it waited, once: the next call shows whether the store is there.
-var errCut = errors.New("follow: watch cut while it waited")
+// errWatchCut is the result of a watch whose connection is lost while it waits, unless this happened to the previous watch too.
+// The next call shows whether the store is lost.
+var errWatchCut = errors.New("follow: watch connection lost while waiting")
 
-// Follower is the part that follows, with a goroutine for each kind.
+// Follower keeps a catalog up to date. It runs one goroutine for each kind.
 type Follower struct {
 	cfg   Config
 	done  chan struct{}
 	ready chan struct{}
 	store *storeState
-	// probes says that one of the kinds does.
-	probes bool
+	// hasProbingKind is set if calls for at least one kind test whether a lost store is back.
+	hasProbingKind bool
 
 	mu sync.Mutex
-	// kinds holds what is known of each kind, by name.
-	kinds map[string]*knowledge
-	// unlisted counts the kinds that have not been listed yet.
-	unlisted int
-	// relayed is until when another box's changes stand in for calls, takenAt when one last told anything.
-	relayed time.Time
-	takenAt time.Time
-	// restored is the last restore of the store that was heard of, restoredAt when.
-	restored   Restored
-	restoredAt time.Time
-	// late holds the changes that were taken in later than the store made them.
-	late []lateChange
-	// told bounds what other boxes are told, toldAt is when one last was.
-	told   allowance
-	toldAt time.Time
+	// statuses holds the status of each kind, by name.
+	statuses map[string]*kindStatus
+	// unlistedKinds counts the kinds that have not been listed yet.
+	unlistedKinds int
+	// relayedUntil is the time until which relayed changes replace calls. Every receipt of changes extends it. lastReceivedAt is
+	// when changes were last received.
+	relayedUntil   time.Time
+	lastReceivedAt time.Time
+	// lastRestore describes the last restore of the store that this box detected, lastRestoreAt is when it did.
+	lastRestore   Restored
+	lastRestoreAt time.Time
+	// lateChanges holds the changes that were applied later than the store made them.
+	lateChanges []lateChange
+	// relayLimiter limits the bytes sent to other boxes. lastRelayedAt is when another box last requested changes.
+	relayLimiter  byteLimiter
+	lastRelayedAt time.Time
 }
 
-// New returns a Follower; its Serve has to run.
+// New returns a Follower. The caller must run Serve.
 func New(cfg Config) *Follower {
 	return &Follower{
-		probes: slices.ContainsFunc(cfg.Kinds, func(k Kind) bool { return k.Probes }),
-		cfg:    cfg, done: make(chan struct{}), ready: make(chan struct{}), store: newStoreState(cfg.Scope), kinds: map[string]*knowledge{},
-		unlisted: len(cfg.Kinds), told: allowance{rate: cmp.Or(cfg.TellRate, defaultTellRate)},
+		hasProbingKind: slices.ContainsFunc(cfg.Kinds, func(k Kind) bool { return k.Probes }),
+		cfg:            cfg, done: make(chan struct{}), ready: make(chan struct{}),
+		store: newStoreState(cfg.Scope), statuses: map[string]*kindStatus{},
+		unlistedKinds: len(cfg.Kinds), relayLimiter: byteLimiter{rate: cmp.Or(cfg.TellRate, defaultRelayRate)},
 	}
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended.
 func (f *Follower) Done() <-chan struct{} { return f.done }
 
-// Ready is closed once every kind has been listed.
+// Ready returns a channel that is closed once every kind has been listed.
 func (f *Follower) Ready() <-chan struct{} { return f.ready }
 
 // IsReady reports whether every kind has been listed.
@@ -143,63 +154,63 @@
 	}
 }
 
-// Serve follows until ctx ends.
+// Serve keeps the catalog up to date until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, f.done)
 	var group errgroup.Group
 	for _, k := range f.cfg.Kinds {
 		group.Go(func() error {
-			f.follow(ctx, newKindState(k))
+			f.followKind(ctx, newKindWatcher(k))
 			return nil
 		})
 	}
-	// The followers return no errors.
+	// The goroutines return no errors.
 	_ = group.Wait()
 	return ctx.Err()
 }
 
-// follow lists a kind and then watches it.
-func (f *Follower) follow(ctx context.Context, k *kindState) {
+// followKind lists a kind and then watches it until ctx ends.
+func (f *Follower) followKind(ctx context.Context, k *kindWatcher) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
-		f.admit(k.Name, clock.Now())
+		f.admitWithheld(k.Name, clock.Now())
 		relayed := f.isRelayed(clock.Now())
-		if relayed && !f.isAsked(k.Name) {
-			k.relayed = true
-			part.Sleep(ctx, relayLook)
+		if relayed && !f.mustCallStore(k.Name) {
+			k.wasRelayed = true
+			part.Sleep(ctx, relayCheckInterval)
 			continue
 		}
-		if f.probes && !k.Probes && !relayed && f.store.isAway() {
-			part.Sleep(ctx, relayLook)
+		if f.hasProbingKind && !k.Probes && !relayed && f.store.isLost() {
+			part.Sleep(ctx, relayCheckInterval)
 			continue
 		}
-		if !relayed && clock.Now().Before(k.holdUntil) {
-			part.Sleep(ctx, relayLook)
+		if !relayed && clock.Now().Before(k.firstWatchAt) {
+			part.Sleep(ctx, relayCheckInterval)
 			continue
 		}
-		f.resume(k)
+		f.resumeCalls(k)
 		began := clock.Now()
-		err := f.step(ctx, k)
-		err = k.judge(clock.Since(began), err)
+		err := f.callOnce(ctx, k)
+		err = k.classifyResult(clock.Since(began), err)
 		pause := k.Pace - clock.Since(began)
-		f.noteCall(k.Name, err)
+		f.recordCall(k.Name, err)
 		switch {
 		case err == nil:
 			backoff = minBackoff
-			f.store.answered(clock.Now())
+			f.store.recordAnswer(clock.Now())
 		case errors.Is(err, objects.ErrGone):
-			klog.InfoS("history gone; listing", "kind", k.Name, "revision", k.revision)
+			klog.InfoS("store history lost; listing the kind again", "kind", k.Name, "revision", k.revision)
 			k.revision, k.listed = 0, false
 			pause = 0
-			f.store.answered(clock.Now())
-			// What one kind missed the others may have missed too, and their watches may never hear of it.
-			f.store.wakeAll()
-		case errors.Is(err, errWoken), errors.Is(err, errCut):
+			f.store.recordAnswer(clock.Now())
+			// Other kinds may have missed changes too, and their watches may never return them.
+			f.store.interruptAll()
+		case errors.Is(err, errInterrupted), errors.Is(err, errWatchCut):
 			pause = 0
 		case ctx.Err() == nil:
-			f.store.failed(clock.Now(), k.Name, err)
+			f.store.recordFailure(clock.Now(), k.Name, err)
 			f.cfg.Scope.Counter("follow_failures").Inc(1)
-			// A call that has hung for long has kept its distance from the next.
+			// The time that the failed call took counts toward the pause.
 			pause = max(minPause, backoff/2+rand.N(backoff)-clock.Since(began))
 			backoff = min(2*backoff, maxBackoff)
 		}
@@ -209,89 +220,91 @@
 	}
 }
 
-// resume goes on with calls after another box's changes have stood in for them. What that box has told up to a revision need not be
-// listed again.
-func (f *Follower) resume(k *kindState) {
-	if !k.relayed {
+// resumeCalls prepares a kind for calls after relayed changes have replaced them. Objects that were received up to a known
+// revision need not be listed again.
+func (f *Follower) resumeCalls(k *kindWatcher) {
+	if !k.wasRelayed {
 		return
 	}
-	k.relayed = false
+	k.wasRelayed = false
 	clear(k.missing)
 	known := f.Known()[k.Name]
 	if k.listed = k.Relayed && known > 0; k.listed {
 		k.revision = known
-		k.know(f.cfg.Catalog.Names(k.Name))
-		k.listAt = time.Time{}
+		k.addKnown(f.cfg.Catalog.Names(k.Name))
+		k.relistAt = time.Time{}
 		if len(k.With) > 0 {
-			// What goes with a kind is not relayed and has been dropped: only a list brings it back. Lists are paid for by the page, so
-			// that waits until heartbeats have been missing for longer than one of them takes to be lost.
-			k.listAt = clock.Now().Add(k.Pace)
+			// Objects of companion kinds are not relayed and were dropped, so only a list restores them. Lists are charged per
+			// page, so the list waits until more heartbeats are missing than a single lost one explains.
+			k.relistAt = clock.Now().Add(k.Pace)
 		}
 	}
 }
 
-// step makes one call: a list until there has been one, then watches, and a list after one that was not answered.
-func (f *Follower) step(ctx context.Context, k *kindState) error {
-	if !k.listed || k.relist || k.listIsDue(clock.Now()) {
-		return f.list(ctx, k)
+// callOnce makes one call. It lists the kind if it has not been listed, if the last watch got no answer, or if a new list is
+// due. Otherwise it watches the kind.
+func (f *Follower) callOnce(ctx context.Context, k *kindWatcher) error {
+	if !k.listed || k.relist || k.isListDue(clock.Now()) {
+		return f.listKind(ctx, k)
 	}
 	f.cfg.Scope.Counter("follow_watches").Inc(1)
 	wait := k.Wait
-	if k.TellWait > 0 && f.tells(clock.Now()) {
+	if k.TellWait > 0 && f.isRelaying(clock.Now()) {
 		wait = k.TellWait
 	}
-	if due, ok := k.nextExpiry(clock.Now()); ok {
-		wait = min(wait, due)
+	if untilDeletion, ok := k.untilNextDeletion(clock.Now()); ok {
+		wait = min(wait, untilDeletion)
 	}
-	if f.store.isAway() {
+	if f.store.isLost() {
 		wait = probeWait
 	}
-	waiting, cancel := f.store.whileThere(ctx)
+	callCtx, cancel := f.store.interruptibleContext(ctx)
 	defer cancel()
 	began := clock.Now()
-	ch, err := f.cfg.Source.Watch(waiting, []string{k.Name}, k.revision, wait)
-	if err != nil && waiting.Err() != nil && ctx.Err() == nil {
-		return errWoken
+	ch, err := f.cfg.Source.Watch(callCtx, []string{k.Name}, k.revision, wait)
+	if err != nil && callCtx.Err() != nil && ctx.Err() == nil {
+		return errInterrupted
 	}
 	if err != nil {
 		return err
 	}
-	f.apply(k, k.changes(clock.Now(), ch, f.graceUntil(k)))
-	f.confirm(k.Name, began)
+	f.applyChanges(k, k.processWatch(clock.Now(), ch, f.outageGraceUntil(k)))
+	f.recordConfirmed(k.Name, began)
 	return nil
 }
 
-func (f *Follower) list(ctx context.Context, k *kindState) error {
+func (f *Follower) listKind(ctx context.Context, k *kindWatcher) error {
 	f.cfg.Scope.Counter("follow_lists").Inc(1)
 	began := clock.Now()
-	all, err := f.pages(ctx, k)
+	all, err := f.listAllPages(ctx, k)
 	if err != nil {
 		return err
 	}
-	f.cross(k.Name, all.Revision)
-	k.know(f.cfg.Catalog.Names(k.Name))
-	f.apply(k, k.replace(clock.Now(), all, f.keepUntil(k)))
-	f.confirm(k.Name, began)
-	k.listed, k.listAt = true, time.Time{}
-	if f.noteListed(k.Name) {
-		k.holdUntil = clock.Now().Add(f.cfg.FirstWatch)
+	f.detectNewEra(k.Name, all.Revision)
+	k.addKnown(f.cfg.Catalog.Names(k.Name))
+	f.applyChanges(k, k.processList(clock.Now(), all, f.keepMissingUntil(k)))
+	f.recordConfirmed(k.Name, began)
+	k.listed, k.relistAt = true, time.Time{}
+	if f.recordListed(k.Name) {
+		k.firstWatchAt = clock.Now().Add(f.cfg.FirstWatch)
 	}
 	return nil
 }
 
-// pages reads the whole list of a kind. One that is to find out whether the store is back is given up when something else has shown it.
-func (f *Follower) pages(ctx context.Context, k *kindState) (objects.Changes, error) {
-	waiting, cancel := ctx, context.CancelFunc(func() {})
-	if f.store.isAway() {
-		waiting, cancel = f.store.whileThere(ctx)
+// listAllPages reads the whole list of a kind. A list that starts while the store is lost is canceled once the store is known
+// to be back.
+func (f *Follower) listAllPages(ctx context.Context, k *kindWatcher) (objects.Changes, error) {
+	callCtx, cancel := ctx, context.CancelFunc(func() {})
+	if f.store.isLost() {
+		callCtx, cancel = f.store.interruptibleContext(ctx)
 	}
 	defer cancel()
 	var all objects.Changes
 	after := ""
 	for {
-		ch, err := f.cfg.Source.List(waiting, []string{k.Name}, after)
-		if err != nil && waiting.Err() != nil && ctx.Err() == nil {
-			return all, errWoken
+		ch, err := f.cfg.Source.List(callCtx, []string{k.Name}, after)
+		if err != nil && callCtx.Err() != nil && ctx.Err() == nil {
+			return all, errInterrupted
 		}
 		if err != nil {
 			return all, err
@@ -300,7 +313,7 @@
 			all.Revision = ch.Revision
 		}
 		if ch.Revision.Era() != all.Revision.Era() {
-			// The pages are of two copies.
+			// The pages come from two copies of the store.
 			return all, objects.ErrGone
 		}
 		all.Objects = append(all.Objects, ch.Objects...)
@@ -310,74 +323,75 @@
 	}
 }
 
-// graceUntil returns until when missing objects of a kind are kept.
-func (f *Follower) graceUntil(k *kindState) time.Time {
+// outageGraceUntil returns until when missing objects of a kind are kept after an outage.
+func (f *Follower) outageGraceUntil(k *kindWatcher) time.Time {
 	if !k.Lapses {
 		return time.Time{}
 	}
-	return f.store.backSince().Add(f.cfg.Grace)
+	return f.store.lastOutageEnd().Add(f.cfg.Grace)
 }
 
-// apply takes changes in. The catalog has them before the revision counts as known: another box that is told the one must be able
-// to have the other.
-func (f *Follower) apply(k *kindState, ch objects.Changes) {
+// applyChanges applies changes to the catalog and then records their revision. The order matters: a box that is sent the
+// revision must also be sent the changes.
+func (f *Follower) applyChanges(k *kindWatcher, ch objects.Changes) {
 	k.revision = max(k.revision, ch.Revision)
 	if len(ch.Objects) > 0 {
-		changed, gone := told(ch.Objects)
+		changed, gone := loggedNames(ch.Objects)
 		klog.V(1).InfoS("objects changed", "kind", k.Name, "revision", ch.Revision, "changed", changed, "gone", gone)
-		f.notePassedOver(k.Name, ch.Revision, f.cfg.Catalog.Apply(ch))
+		f.reportSkipped(k.Name, ch.Revision, f.cfg.Catalog.Apply(ch))
 	}
-	for _, name := range k.returned {
+	for _, name := range k.reappeared {
 		f.cfg.Catalog.Touch(k.Name, name)
 	}
-	k.returned = nil
+	k.reappeared = nil
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	own := f.of(k.Name)
-	own.known, own.kept = k.revision, len(k.missing)
-	f.late = noteLate(f.late, k, ch, clock.Now())
+	status := f.statusOf(k.Name)
+	status.knownRevision, status.keptObjects = k.revision, len(k.missing)
+	f.lateChanges = appendLateDeletions(f.lateChanges, k, ch, clock.Now())
 }
 
-// notePassedOver tells of objects that were not taken in since a later version of them is held.
-func (f *Follower) notePassedOver(kind string, revision objects.Position, older int) {
+// reportSkipped counts and logs objects that were not applied because the catalog holds a later version.
+func (f *Follower) reportSkipped(kind string, revision objects.Position, older int) {
 	if older == 0 {
 		return
 	}
 	f.cfg.Scope.Counter("objects_passed_over").Inc(int64(older))
-	klog.V(1).InfoS("objects passed over", "kind", kind, "revision", revision, "older", older)
+	klog.V(1).InfoS("older object versions skipped", "kind", kind, "revision", revision, "older", older)
 }
 
-// maxNamesTold bounds the names in a line.
-const maxNamesTold = 8
+// maxLoggedNames is the maximum number of changed or deleted object names in one log line.
+const maxLoggedNames = 8
 
-// told returns the names of objects for the log, bounded.
-func told(all []objects.Object) (changed, gone []string) {
+// loggedNames returns the names of changed and deleted objects for the log, at most maxLoggedNames of each.
+func loggedNames(all []objects.Object) (changed, gone []string) {
 	for _, o := range all {
 		switch {
-		case o.Deleted && len(gone) < maxNamesTold:
+		case o.Deleted && len(gone) < maxLoggedNames:
 			gone = append(gone, o.Name)
-		case !o.Deleted && len(changed) < maxNamesTold:
+		case !o.Deleted && len(changed) < maxLoggedNames:
 			changed = append(changed, o.Name)
 		}
 	}
 	return changed, gone
 }
 
-// StoreAge returns the age of what this box knows: the time since the store last answered it, or the box that tells it of changes.
-func (f *Follower) StoreAge() time.Duration { return f.store.age(clock.Now()) }
+// StoreAge returns the age of this box's data: the time since the store last answered this box or the box that relays changes
+// to it.
+func (f *Follower) StoreAge() time.Duration { return f.store.answerAge(clock.Now()) }
 
-// noteListed notes that a kind has been listed and reports whether it was for the first time.
-func (f *Follower) noteListed(kind string) bool {
+// recordListed records that a kind has been listed and reports whether this was the first list.
+func (f *Follower) recordListed(kind string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := f.of(kind)
-	k.listedAt = clock.Now()
+	k := f.statusOf(kind)
+	k.lastListedAt = clock.Now()
 	if k.listed {
 		return false
 	}
 	k.listed = true
-	f.unlisted--
-	if f.unlisted == 0 {
+	f.unlistedKinds--
+	if f.unlistedKinds == 0 {
 		klog.InfoS("all kinds listed", "kinds", slices.Collect(kindNames(f.cfg.Kinds)))
 		close(f.ready)
 	}
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -26,28 +26,28 @@
 	service = "summaries"
 )
 
-// store is a source with a history that can be forgotten, watches that can be deaf, and outages.
-type store struct {
+// fakeStore is a source that can lose its history, leave watches without changes, and fail.
+type fakeStore struct {
 	mu       sync.Mutex
 	revision objects.Position
 	objects  map[string]map[string]objects.Object
 	history  []objects.Object
-	// floor is the revision before which the history is gone.
-	floor objects.Position
-	// deaf watches wait their time and hear nothing.
-	deaf bool
-	down bool
-	// hangs is how long calls hang before they fail while the store is down.
-	hangs time.Duration
-	// woken is closed at each change.
+	// oldestRevision is the revision before which the history is lost.
+	oldestRevision objects.Position
+	// silent makes watches wait for their whole time and return no changes.
+	silent bool
+	down   bool
+	// hangTime is how long watches hang before they fail, zero if they do not hang.
+	hangTime time.Duration
+	// changed is closed at each change.
 	changed chan struct{}
 }
 
-func newStore() *store {
-	return &store{objects: map[string]map[string]objects.Object{}, changed: make(chan struct{})}
+func newFakeStore() *fakeStore {
+	return &fakeStore{objects: map[string]map[string]objects.Object{}, changed: make(chan struct{})}
 }
 
-func (s *store) put(c *qt.C, kind resource.Kind, name string, spec resource.Spec) {
+func (s *fakeStore) put(c *qt.C, kind resource.Kind, name string, spec resource.Spec) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -57,14 +57,14 @@
 }
 
 // remove deletes an endpoint.
-func (s *store) remove(name string) {
+func (s *fakeStore) remove(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.write(objects.Object{Kind: string(resource.KindEndpoint), Name: name, Version: s.revision, Deleted: true})
 }
 
-func (s *store) write(o objects.Object) {
+func (s *fakeStore) write(o objects.Object) {
 	if s.objects[o.Kind] == nil {
 		s.objects[o.Kind] = map[string]objects.Object{}
 	}
@@ -77,14 +77,14 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *store) set(change func(*store)) {
+func (s *fakeStore) update(change func(*fakeStore)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s)
 }
 
 // List implements follow.Source.
-func (s *store) List(_ context.Context, kinds []string, _ string) (objects.Changes, error) {
+func (s *fakeStore) List(_ context.Context, kinds []string, _ string) (objects.Changes, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -98,24 +98,24 @@
 }
 
 // Watch implements follow.Source.
-func (s *store) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
+func (s *fakeStore) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	timeout := time.After(wait)
 	s.mu.Lock()
-	hangs := s.hangs
+	hangTime := s.hangTime
 	s.mu.Unlock()
-	if hangs > 0 {
-		time.Sleep(hangs)
+	if hangTime > 0 {
+		time.Sleep(hangTime)
 		return objects.Changes{}, objects.ErrUnavailable
 	}
 	for {
 		s.mu.Lock()
-		changed, deaf := s.changed, s.deaf
-		ch, err := s.since(kinds[0], from)
+		changed, silent := s.changed, s.silent
+		ch, err := s.changesSince(kinds[0], from)
 		s.mu.Unlock()
-		if err != nil || (len(ch.Objects) > 0 && !deaf) {
+		if err != nil || (len(ch.Objects) > 0 && !silent) {
 			return ch, err
 		}
-		if deaf {
+		if silent {
 			changed = nil
 		}
 		select {
@@ -128,11 +128,11 @@
 	}
 }
 
-func (s *store) since(kind string, from objects.Position) (objects.Changes, error) {
+func (s *fakeStore) changesSince(kind string, from objects.Position) (objects.Changes, error) {
 	if s.down {
 		return objects.Changes{}, objects.ErrUnavailable
 	}
-	if from < s.floor {
+	if from < s.oldestRevision {
 		return objects.Changes{}, objects.ErrGone
 	}
 	ch := objects.Changes{Revision: s.revision}
@@ -150,11 +150,11 @@
 
 func routing(version int64) *resource.Routing { return &resource.Routing{Version: version} }
 
-// run follows a store in virtual time, filled before by setUp, and calls during.
-func run(t *testing.T, setUp func(c *qt.C, s *store), during func(c *qt.C, s *store, cat *catalog.Catalog)) {
+// runFollower follows a store in virtual time. It calls setUp to fill the store, and during once every kind has been listed.
+func runFollower(t *testing.T, setUp func(c *qt.C, s *fakeStore), during func(c *qt.C, s *fakeStore, cat *catalog.Catalog)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newStore()
+		s := newFakeStore()
 		setUp(c, s)
 		cat := catalog.New()
 		f := follow.New(follow.Config{Source: s, Catalog: cat, Scope: tally.NoopScope, Grace: grace, Kinds: []follow.Kind{
@@ -172,79 +172,81 @@
 	})
 }
 
-func version(cat *catalog.Catalog) int64 {
+func routingVersion(cat *catalog.Catalog) int64 {
 	if t := cat.Topology().Routes; t != nil {
 		return t.Version()
 	}
 	return 0
 }
 
-func endpoints(cat *catalog.Catalog) int { return len(cat.Topology().Endpoints[service]) }
+func endpointCount(cat *catalog.Catalog) int { return len(cat.Topology().Endpoints[service]) }
 
-// TestForgottenHistoryWakesEveryKind: the watch of one kind learns that the history is gone, the other's hears nothing for a minute.
-func TestForgottenHistoryWakesEveryKind(t *testing.T) {
-	setUp := func(c *qt.C, s *store) { s.put(c, resource.KindRouting, catalog.RoutingName, routing(1)) }
-	run(t, setUp, func(c *qt.C, s *store, cat *catalog.Catalog) {
-		s.set(func(s *store) { s.deaf = true })
+// TestLostHistoryRelistsEveryKind has the watch of one kind report that the history is lost, while the watch of the other kind
+// would return nothing for a minute.
+func TestLostHistoryRelistsEveryKind(t *testing.T) {
+	setUp := func(c *qt.C, s *fakeStore) { s.put(c, resource.KindRouting, catalog.RoutingName, routing(1)) }
+	runFollower(t, setUp, func(c *qt.C, s *fakeStore, cat *catalog.Catalog) {
+		s.update(func(s *fakeStore) { s.silent = true })
 		s.put(c, resource.KindRouting, catalog.RoutingName, routing(2))
-		s.set(func(s *store) { s.floor = s.revision })
+		s.update(func(s *fakeStore) { s.oldestRevision = s.revision })
 		time.Sleep(3 * time.Second)
-		c.Check(version(cat), qt.Equals, int64(2))
+		c.Check(routingVersion(cat), qt.Equals, int64(2))
 	})
 }
 
-func TestChangeIsInForceAtOnce(t *testing.T) {
-	run(t, func(*qt.C, *store) {}, func(c *qt.C, s *store, cat *catalog.Catalog) {
+func TestChangeAppliesImmediately(t *testing.T) {
+	runFollower(t, func(*qt.C, *fakeStore) {}, func(c *qt.C, s *fakeStore, cat *catalog.Catalog) {
 		s.put(c, resource.KindRouting, catalog.RoutingName, routing(7))
 		time.Sleep(time.Millisecond)
-		c.Check(version(cat), qt.Equals, int64(7))
+		c.Check(routingVersion(cat), qt.Equals, int64(7))
 	})
 }
 
-func TestLeavingEndpointIsNoticedWithinThePace(t *testing.T) {
-	setUp := func(c *qt.C, s *store) { s.put(c, resource.KindEndpoint, "e1", endpoint(1)) }
-	run(t, setUp, func(c *qt.C, s *store, cat *catalog.Catalog) {
-		c.Check(endpoints(cat), qt.Equals, 1)
+func TestRemovedEndpointIsNoticedWithinPace(t *testing.T) {
+	setUp := func(c *qt.C, s *fakeStore) { s.put(c, resource.KindEndpoint, "e1", endpoint(1)) }
+	runFollower(t, setUp, func(c *qt.C, s *fakeStore, cat *catalog.Catalog) {
+		c.Check(endpointCount(cat), qt.Equals, 1)
 		s.put(c, resource.KindEndpoint, "e2", endpoint(2))
 		s.remove("e1")
 		time.Sleep(pace + time.Millisecond)
-		c.Check(endpoints(cat), qt.Equals, 1)
+		c.Check(endpointCount(cat), qt.Equals, 1)
 	})
 }
 
-// TestLapsedEndpointsAreKept: entries lapse while the store is away; those that come back were never gone, the others go after the grace.
-func TestLapsedEndpointsAreKept(t *testing.T) {
-	setUp := func(c *qt.C, s *store) {
+// TestExpiredEndpointsAreKeptForGrace has entries expire while the store is down. Those that are written again are never
+// dropped. The others are removed after the grace period.
+func TestExpiredEndpointsAreKeptForGrace(t *testing.T) {
+	setUp := func(c *qt.C, s *fakeStore) {
 		for i := range 3 {
 			s.put(c, resource.KindEndpoint, fmt.Sprint("e", i+1), endpoint(i+1))
 		}
 	}
-	run(t, setUp, func(c *qt.C, s *store, cat *catalog.Catalog) {
-		s.set(func(s *store) { s.down = true })
+	runFollower(t, setUp, func(c *qt.C, s *fakeStore, cat *catalog.Catalog) {
+		s.update(func(s *fakeStore) { s.down = true })
 		time.Sleep(5 * time.Second)
 		for i := range 3 {
 			s.remove(fmt.Sprint("e", i+1))
 		}
-		c.Check(endpoints(cat), qt.Equals, 3)
-		s.set(func(s *store) { s.down = false })
+		c.Check(endpointCount(cat), qt.Equals, 3)
+		s.update(func(s *fakeStore) { s.down = false })
 		time.Sleep(1500 * time.Millisecond)
-		c.Check(endpoints(cat), qt.Equals, 3)
+		c.Check(endpointCount(cat), qt.Equals, 3)
 		s.put(c, resource.KindEndpoint, "e1", endpoint(1))
 		s.put(c, resource.KindEndpoint, "e2", endpoint(2))
 		time.Sleep(3 * time.Second)
-		c.Check(endpoints(cat), qt.Equals, 2)
+		c.Check(endpointCount(cat), qt.Equals, 2)
 	})
 }
 
-// newest returns the store's revision.
-func (s *store) newest() objects.Position {
+// newestRevision returns the store's revision.
+func (s *fakeStore) newestRevision() objects.Position {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// of returns all objects of a kind.
-func (s *store) of(kind resource.Kind) []objects.Object {
+// objectsOf returns all objects of a kind.
+func (s *fakeStore) objectsOf(kind resource.Kind) []objects.Object {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []objects.Object
@@ -254,19 +256,19 @@
 	return all
 }
 
-// TestCallsThatHungAreFollowedAtOnce: behind a path that swallows calls for 2.5 s each, one is always under way: after the path is
-// back a change is in force within the time of a call and a bit.
-func TestCallsThatHungAreFollowedAtOnce(t *testing.T) {
-	setUp := func(c *qt.C, s *store) { s.put(c, resource.KindRouting, catalog.RoutingName, routing(1)) }
-	run(t, setUp, func(c *qt.C, s *store, cat *catalog.Catalog) {
-		s.set(func(s *store) { s.hangs, s.down = 2500*time.Millisecond, true })
+// TestChangeAppliesSoonAfterHangingCalls uses a network path on which calls hang for 2.5 s before they fail, so that one is
+// always pending. After the path has recovered, a change must apply within little more than the time of one call.
+func TestChangeAppliesSoonAfterHangingCalls(t *testing.T) {
+	setUp := func(c *qt.C, s *fakeStore) { s.put(c, resource.KindRouting, catalog.RoutingName, routing(1)) }
+	runFollower(t, setUp, func(c *qt.C, s *fakeStore, cat *catalog.Catalog) {
+		s.update(func(s *fakeStore) { s.hangTime, s.down = 2500*time.Millisecond, true })
 		time.Sleep(70 * time.Second)
 		for range 20 {
-			s.put(c, resource.KindRouting, catalog.RoutingName, routing(int64(s.newest()+1)))
-			s.set(func(s *store) { s.hangs, s.down = 0, false })
+			s.put(c, resource.KindRouting, catalog.RoutingName, routing(int64(s.newestRevision()+1)))
+			s.update(func(s *fakeStore) { s.hangTime, s.down = 0, false })
 			time.Sleep(2700 * time.Millisecond)
-			c.Check(version(cat), qt.Equals, int64(s.newest()))
-			s.set(func(s *store) { s.hangs, s.down = 2500*time.Millisecond, true })
+			c.Check(routingVersion(cat), qt.Equals, int64(s.newestRevision()))
+			s.update(func(s *fakeStore) { s.hangTime, s.down = 2500*time.Millisecond, true })
 			time.Sleep(70 * time.Second)
 		}
 	})
--- a/internal/follow/kind.go
+++ b/internal/follow/kind.go
@@ -7,94 +7,97 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// kindState is what a follower knows of one kind. One goroutine uses it.
-type kindState struct {
+// kindWatcher is the state of the goroutine that follows one kind. Only that goroutine uses it.
+type kindWatcher struct {
 	Kind
-	// revision is that up to which the kind is known once it has been listed.
+	// revision is the revision up to which the kind is known once it has been listed.
 	revision objects.Position
 	listed   bool
-	// relayed says that changes have come through another box since the last call.
-	relayed bool
-	// cut says that the last watch was cut while it waited.
-	cut bool
-	// relist says that the next call is to be a list, as the last watch ended without an answer: a store that is about to forget its history
-	// answers no watch, however short, for a second or more, and what a list says is whole.
+	// wasRelayed is set if relayed changes have replaced calls since the last call.
+	wasRelayed bool
+	// watchCut is set if the connection of the last watch was lost while it waited.
+	watchCut bool
+	// relist makes the next call a list because the last watch ended without an answer. A store that is about to lose its
+	// history answers no watch, however short, for a second or more, while the answer to a list is always complete.
 	relist bool
-	// listAt is when the kind is to be listed anew though it is known; zero if it is not.
-	listAt time.Time
-	// holdUntil is when the first watch may begin.
-	holdUntil time.Time
-	known     map[string]bool
-	// missing holds objects that were removed shortly after an outage, with the time at which that is believed.
+	// relistAt is when the known kind must be listed again, zero if it need not.
+	relistAt time.Time
+	// firstWatchAt is the earliest time of the first watch.
+	firstWatchAt time.Time
+	knownNames   map[string]bool
+	// missing maps each object that was removed during or shortly after an outage to the time at which the removal is applied.
 	missing map[string]time.Time
-	// returned holds objects that came back while they were kept as missing: other boxes may have dropped them.
-	returned []string
+	// reappeared names objects that exist again after they were kept as missing. Other boxes may have dropped them.
+	reappeared []string
 }
 
-func newKindState(k Kind) *kindState {
-	return &kindState{Kind: k, known: map[string]bool{}, missing: map[string]time.Time{}}
+func newKindWatcher(k Kind) *kindWatcher {
+	return &kindWatcher{Kind: k, knownNames: map[string]bool{}, missing: map[string]time.Time{}}
 }
 
-// judge returns how a call that took so long has ended, and chooses the next. The first watch that is cut while it waits is no failure yet:
-// the store may only have forgotten its history, or one of it may have been replaced, and an outage that is none keeps what is gone for a while.
-func (k *kindState) judge(took time.Duration, err error) error {
+// classifyResult decides which error the result of a call counts as, and whether the next call is a list. A watch whose
+// connection is lost while it waits does not count as a failure the first time: the store may only have lost its history, or
+// one of its servers may have been replaced. Counting it as an outage would keep removed objects for Config.Grace.
+func (k *kindWatcher) classifyResult(took time.Duration, err error) error {
 	watched := k.listed && !k.relist
 	k.relist = false
 	switch {
-	case errors.Is(err, errWoken):
+	case errors.Is(err, errInterrupted):
 		k.relist = k.Probes
 		return err
 	case err == nil || errors.Is(err, objects.ErrGone):
-		k.cut = false
+		k.watchCut = false
 		return err
 	}
 	k.relist = watched
-	if watched && !k.cut && took > minPause && took < k.Wait {
-		k.cut = true
-		return errors.Join(errCut, err)
+	if watched && !k.watchCut && took > minPause && took < k.Wait {
+		k.watchCut = true
+		return errors.Join(errWatchCut, err)
 	}
-	k.cut = false
+	k.watchCut = false
 	return err
 }
 
-// listIsDue reports whether the kind is to be listed anew.
-func (k *kindState) listIsDue(now time.Time) bool { return !k.listAt.IsZero() && !now.Before(k.listAt) }
+// isListDue reports whether the known kind must be listed again now.
+func (k *kindWatcher) isListDue(now time.Time) bool {
+	return !k.relistAt.IsZero() && !now.Before(k.relistAt)
+}
 
-// know adds objects that came by another way than by calls.
-func (k *kindState) know(names []string) {
+// addKnown adds the names of objects that were received by other means than this box's calls.
+func (k *kindWatcher) addKnown(names []string) {
 	for _, name := range names {
-		k.known[name] = true
+		k.knownNames[name] = true
 	}
 }
 
-// replace takes a full list in and returns what changes by it. Before graceUntil missing objects are kept.
-func (k *kindState) replace(now time.Time, list objects.Changes, graceUntil time.Time) objects.Changes {
+// processList processes a full list and returns the resulting changes. Before graceUntil, missing objects are kept.
+func (k *kindWatcher) processList(now time.Time, list objects.Changes, graceUntil time.Time) objects.Changes {
 	out := objects.Changes{Revision: list.Revision, Objects: list.Objects}
 	listed := map[string]bool{}
 	for _, o := range list.Objects {
 		listed[o.Name] = true
 	}
-	for name := range k.known {
+	for name := range k.knownNames {
 		if !listed[name] && !k.Ours {
 			out.Objects = append(out.Objects, objects.Object{Kind: k.Name, Name: name, Version: list.Revision, Deleted: true})
 		}
 	}
-	return k.settle(now, out, graceUntil)
+	return k.deferDeletions(now, out, graceUntil)
 }
 
-// changes takes a watch's answer in and returns what changes by it.
-func (k *kindState) changes(now time.Time, ch objects.Changes, graceUntil time.Time) objects.Changes {
-	return k.settle(now, ch, graceUntil)
+// processWatch processes the answer to a watch and returns the resulting changes. Before graceUntil, deleted objects are kept.
+func (k *kindWatcher) processWatch(now time.Time, ch objects.Changes, graceUntil time.Time) objects.Changes {
+	return k.deferDeletions(now, ch, graceUntil)
 }
 
-// settle holds deletions back until graceUntil and adds those whose time has come.
-func (k *kindState) settle(now time.Time, ch objects.Changes, graceUntil time.Time) objects.Changes {
+// deferDeletions holds deletions back until graceUntil and adds those that were held back before and are now due.
+func (k *kindWatcher) deferDeletions(now time.Time, ch objects.Changes, graceUntil time.Time) objects.Changes {
 	out := objects.Changes{Revision: ch.Revision}
 	for _, o := range ch.Objects {
 		if !o.Deleted {
-			// In the order of the answer: one that went and is back is there.
-			k.known[o.Name] = true
-			k.back(o.Name)
+			// Changes are in order, so an object that was deleted and added again exists.
+			k.knownNames[o.Name] = true
+			k.noteReappeared(o.Name)
 			out.Objects = append(out.Objects, o)
 			continue
 		}
@@ -104,45 +107,45 @@
 			}
 			continue
 		}
-		delete(k.known, o.Name)
+		delete(k.knownNames, o.Name)
 		delete(k.missing, o.Name)
-		out.Objects = k.remove(out.Objects, o.Name, o.Version)
+		out.Objects = k.appendDeletions(out.Objects, o.Name, o.Version)
 	}
 	for name, until := range k.missing {
 		if now.Before(until) {
 			continue
 		}
 		delete(k.missing, name)
-		delete(k.known, name)
-		out.Objects = k.remove(out.Objects, name, max(k.revision, ch.Revision))
+		delete(k.knownNames, name)
+		out.Objects = k.appendDeletions(out.Objects, name, max(k.revision, ch.Revision))
 	}
 	return out
 }
 
-// back takes in that an object is there.
-func (k *kindState) back(name string) {
+// noteReappeared records that an object exists, also if it was kept as missing.
+func (k *kindWatcher) noteReappeared(name string) {
 	if _, missing := k.missing[name]; missing {
 		delete(k.missing, name)
-		k.returned = append(k.returned, name)
+		k.reappeared = append(k.reappeared, name)
 	}
 }
 
-// remove adds the deletion of an object and of what goes with it.
-func (k *kindState) remove(changed []objects.Object, name string, version objects.Position) []objects.Object {
+// appendDeletions appends the deletions of an object and of the companion objects with its name.
+func (k *kindWatcher) appendDeletions(changed []objects.Object, name string, version objects.Position) []objects.Object {
 	for _, kind := range append([]string{k.Name}, k.With...) {
 		changed = append(changed, objects.Object{Kind: kind, Name: name, Version: version, Deleted: true})
 	}
 	return changed
 }
 
-// nextExpiry returns the time until the first missing object is given up.
-func (k *kindState) nextExpiry(now time.Time) (time.Duration, bool) {
-	var least time.Duration
+// untilNextDeletion returns the time until the next missing object is removed, and false if no object is missing.
+func (k *kindWatcher) untilNextDeletion(now time.Time) (time.Duration, bool) {
+	var shortest time.Duration
 	found := false
 	for _, until := range k.missing {
-		if d := max(time.Millisecond, until.Sub(now)); !found || d < least {
-			least, found = d, true
+		if d := max(time.Millisecond, until.Sub(now)); !found || d < shortest {
+			shortest, found = d, true
 		}
 	}
-	return least, found
+	return shortest, found
 }
--- a/internal/follow/knowledge.go
+++ b/internal/follow/knowledge.go
@@ -8,57 +8,60 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// knowledge is what a follower knows of one kind.
-type knowledge struct {
-	// known is the revision up to which the kind is known, by calls or through another box.
-	known objects.Position
-	// crossedFrom is the position up to which the kind was known when it crossed over to the present era, crossedAt when it did, zero once that is long ago.
-	crossedFrom objects.Position
-	crossedAt   time.Time
-	// wholeAt is when another box has to tell of the kind in full, zero if it need not.
-	wholeAt time.Time
-	// listed says that the kind has been listed by calls, listedAt when it last was.
-	listed   bool
-	listedAt time.Time
-	// answered is when the store last answered for the kind, failing says that the last call for it failed.
-	answered time.Time
-	failing  bool
-	// failedAt is when the first call failed since one was answered.
-	failedAt time.Time
-	// kept counts the objects that are kept though the store no longer has them.
-	kept int
-	// whole says that another box has to tell of the kind in full, asked that the store is to be asked though changes come through one.
-	whole, asked bool
-	// askedAt is when that began.
-	askedAt time.Time
-	// confirmed is a moment before which the store had acknowledged nothing of the kind that is not known here.
-	confirmed time.Time
+// kindStatus is the state of one kind that the goroutines of a Follower share. Follower.mu guards it.
+type kindStatus struct {
+	// knownRevision is the revision up to which the kind is known, through calls or from another box.
+	knownRevision objects.Position
+	// previousEraRevision is the revision up to which the kind was known when it switched to the present era. eraChangedAt is
+	// when it switched; it is reset to zero after withholdTime.
+	previousEraRevision objects.Position
+	eraChangedAt        time.Time
+	// needsFullAt is when another box must send all objects of the kind, zero if it need not.
+	needsFullAt time.Time
+	// listed is set once this box has listed the kind. lastListedAt is when it last did.
+	listed       bool
+	lastListedAt time.Time
+	// answeredAt is when the store last answered for the kind. failing is set if the last call for the kind failed.
+	answeredAt time.Time
+	failing    bool
+	// failingSince is when the first call failed after the last answer.
+	failingSince time.Time
+	// keptObjects counts the objects that are kept although the store no longer has them.
+	keptObjects int
+	// needsFull is set if another box must send all objects of the kind. needsCall is set if the store must be called although
+	// changes are relayed.
+	needsFull, needsCall bool
+	// needsCallSince is when needsCall was set.
+	needsCallSince time.Time
+	// All changes of the kind that the store acknowledged before confirmedAt are known here.
+	confirmedAt time.Time
 }
 
-// of returns what is known of a kind. The caller holds the lock.
-func (f *Follower) of(kind string) *knowledge {
-	k, ok := f.kinds[kind]
+// statusOf returns the status of a kind and creates it if needed. The caller holds the lock.
+func (f *Follower) statusOf(kind string) *kindStatus {
+	k, ok := f.statuses[kind]
 	if !ok {
-		k = &knowledge{}
-		f.kinds[kind] = k
+		k = &kindStatus{}
+		f.statuses[kind] = k
 	}
 	return k
 }
 
-// noteCall notes how a call for a kind ended. One that was given up for another's sake says nothing.
-func (f *Follower) noteCall(kind string, err error) {
+// recordCall records the result of a call for a kind. It ignores errInterrupted and errWatchCut, which do not show whether the
+// store answers.
+func (f *Follower) recordCall(kind string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	k := f.of(kind)
+	k := f.statusOf(kind)
 	switch {
 	case err == nil:
-		k.answered, k.failing, k.asked = clock.Now(), false, false
+		k.answeredAt, k.failing, k.needsCall = clock.Now(), false, false
 	case errors.Is(err, objects.ErrGone):
-		// The store answers; what it has forgotten is listed next.
-		k.answered, k.failing = clock.Now(), false
-	case !errors.Is(err, errWoken) && !errors.Is(err, errCut):
+		// The store answered. The kind is listed next because its history is lost.
+		k.answeredAt, k.failing = clock.Now(), false
+	case !errors.Is(err, errInterrupted) && !errors.Is(err, errWatchCut):
 		if !k.failing {
-			k.failing, k.failedAt = true, clock.Now()
+			k.failing, k.failingSince = true, clock.Now()
 		}
 	}
 }
--- a/internal/follow/narrow_test.go
+++ b/internal/follow/narrow_test.go
@@ -20,69 +20,70 @@
 )
 
 const (
-	// narrow is how many bytes a second leave the box that tells the others: 10 Mbit/s.
-	narrow = 1_250_000
-	// beatLimit is how long a heartbeat waits for its answer, storeLimit how long a call of the store may be held up.
-	beatLimit  = 667 * time.Millisecond
-	storeLimit = 900 * time.Millisecond
-	// inForce is how long after a change every box has to have it.
-	inForce = 3 * time.Second
+	// linkRate is the bandwidth of the box that relays changes, in bytes per second: 10 Mbit/s.
+	linkRate = 1_250_000
+	// heartbeatTimeout is how long a heartbeat waits for its answer. storeTimeout is how long a call to the store may be
+	// delayed.
+	heartbeatTimeout = 667 * time.Millisecond
+	storeTimeout     = 900 * time.Millisecond
+	// changeDeadline is the time within which every box must have a change.
+	changeDeadline = 3 * time.Second
 )
 
-// link sends one thing after the other, also what nobody waits for any more.
+// link sends one message after another, also those that nobody waits for any more.
 type link struct {
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// send returns the time until so many bytes have left.
+// send queues a message and returns the time until its bytes have been sent.
 func (l *link) send(bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(bytes) * time.Second / narrow)
-	return time.Until(l.free)
+	l.freeAt = l.freeAt.Add(time.Duration(bytes) * time.Second / linkRate)
+	return time.Until(l.freeAt)
 }
 
-// linked is a source whose calls leave by a link.
-type linked struct {
-	*store
+// linkedSource is a source whose calls are sent over a link.
+type linkedSource struct {
+	*fakeStore
 	link *link
 }
 
-func (s linked) pass(ctx context.Context) error {
-	held := s.link.send(100)
+func (s linkedSource) waitForLink(ctx context.Context) error {
+	delay := s.link.send(100)
 	select {
-	case <-time.After(min(held, storeLimit)):
+	case <-time.After(min(delay, storeTimeout)):
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	if held > storeLimit {
+	if delay > storeTimeout {
 		return objects.ErrUnavailable
 	}
 	return nil
 }
 
 // List implements follow.Source.
-func (s linked) List(ctx context.Context, kinds []string, after string) (objects.Changes, error) {
-	if err := s.pass(ctx); err != nil {
+func (s linkedSource) List(ctx context.Context, kinds []string, after string) (objects.Changes, error) {
+	if err := s.waitForLink(ctx); err != nil {
 		return objects.Changes{}, err
 	}
-	return s.store.List(ctx, kinds, after)
+	return s.fakeStore.List(ctx, kinds, after)
 }
 
 // Watch implements follow.Source.
-func (s linked) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
-	if err := s.pass(ctx); err != nil {
+func (s linkedSource) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
+	if err := s.waitForLink(ctx); err != nil {
 		return objects.Changes{}, err
 	}
-	return s.store.Watch(ctx, kinds, from, wait)
+	return s.fakeStore.Watch(ctx, kinds, from, wait)
 }
 
-// large returns a configuration of so many routes.
-func large(version int64, routes int) *resource.Routing {
+// largeRouting returns a configuration with the given number of routes.
+func largeRouting(version int64, routes int) *resource.Routing {
 	r := routing(version)
 	for i := range routes {
 		r.Routes = append(r.Routes, resource.Route{
@@ -93,30 +94,30 @@
 	return r
 }
 
-// narrowCell is a cell whose boxes have their changes through one that has a narrow link.
+// narrowCell is a cell whose boxes receive their changes from one box with a narrow link.
 type narrowCell struct {
-	store *store
-	link  *link
-	from  *side
-	boxes []*side
-	// beating says that the one answers; lost counts the heartbeats that had no answer in time.
-	beating atomic.Bool
-	lost    atomic.Int64
+	store  *fakeStore
+	link   *link
+	sender *box
+	boxes  []*box
+	// answering is set while the relaying box answers. lostHeartbeats counts the heartbeats that had no answer in time.
+	answering      atomic.Bool
+	lostHeartbeats atomic.Int64
 }
 
-func (n *narrowCell) beat(b *side) {
-	if !n.beating.Load() {
+func (n *narrowCell) sendHeartbeat(b *box) {
+	if !n.answering.Load() {
 		return
 	}
-	changes, age := n.from.Since(b.Known())
+	changes, age := n.sender.Since(b.Known())
 	reply, err := json.Marshal(coordinator.Reply{News: coordinator.News{Changes: changes, StoreAge: age}})
 	if err != nil {
 		panic(err)
 	}
 	took := n.link.send(len(reply))
-	time.Sleep(min(took, beatLimit))
-	if took > beatLimit {
-		n.lost.Add(1)
+	time.Sleep(min(took, heartbeatTimeout))
+	if took > heartbeatTimeout {
+		n.lostHeartbeats.Add(1)
 		return
 	}
 	var r coordinator.Reply
@@ -126,39 +127,40 @@
 	b.Take(r.Changes, r.StoreAge)
 }
 
-// behind returns how many boxes do not have a version, the one that tells the others among them.
-func (n *narrowCell) behind(want int64) int {
+// boxesBehind returns how many boxes, including the relaying one, do not have a version.
+func (n *narrowCell) boxesBehind(want int64) int {
 	count := 0
-	for _, b := range append([]*side{n.from}, n.boxes...) {
-		if version(b.catalog) < want {
+	for _, b := range append([]*box{n.sender}, n.boxes...) {
+		if routingVersion(b.catalog) < want {
 			count++
 		}
 	}
 	return count
 }
 
-func inNarrowCell(t *testing.T, boxes, endpoints int, during func(c *qt.C, n *narrowCell)) {
+// runNarrowCell runs a narrowCell in virtual time and calls during after ten seconds.
+func runNarrowCell(t *testing.T, boxes, endpoints int, during func(c *qt.C, n *narrowCell)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s, l := newStore(), &link{}
+		s, l := newFakeStore(), &link{}
 		s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
 		for i := range endpoints {
 			s.put(c, resource.KindEndpoint, fmt.Sprint("endpoint-", i+1), endpoint(i%250+1))
 		}
-		n := &narrowCell{store: s, link: l, from: newSideOf(linked{s, l})}
-		n.beating.Store(true)
+		n := &narrowCell{store: s, link: l, sender: newBoxWithSource(linkedSource{s, l})}
+		n.answering.Store(true)
 		ctx, cancel := context.WithCancel(t.Context())
 		var group errgroup.Group
-		group.Go(func() error { return n.from.Serve(ctx) })
+		group.Go(func() error { return n.sender.Serve(ctx) })
 		for i := range boxes {
-			b := newSide(s)
+			b := newBox(s)
 			n.boxes = append(n.boxes, b)
 			group.Go(func() error { return b.Serve(ctx) })
 			group.Go(func() error {
-				time.Sleep(time.Duration(i) * beatEvery / time.Duration(boxes))
+				time.Sleep(time.Duration(i) * heartbeatInterval / time.Duration(boxes))
 				for ctx.Err() == nil {
-					n.beat(b)
-					time.Sleep(beatEvery)
+					n.sendHeartbeat(b)
+					time.Sleep(heartbeatInterval)
 				}
 				return nil
 			})
@@ -170,24 +172,26 @@
 	})
 }
 
-// TestLargeConfigurationPassesANarrowLink changes a configuration of 1,400 routes while 66 boxes have their changes through one box.
-func TestLargeConfigurationPassesANarrowLink(t *testing.T) {
-	inNarrowCell(t, 66, 20, func(c *qt.C, n *narrowCell) {
+// TestLargeConfigurationOverNarrowLink changes a configuration of 1,400 routes while 66 boxes receive their changes from one
+// box.
+func TestLargeConfigurationOverNarrowLink(t *testing.T) {
+	runNarrowCell(t, 66, 20, func(c *qt.C, n *narrowCell) {
 		for i := range 3 {
 			v := int64(i + 2)
-			n.store.put(c, resource.KindRouting, catalog.RoutingName, large(v, 1400))
-			time.Sleep(inForce)
-			c.Check(n.behind(v), qt.Equals, 0, qt.Commentf("version %d", v))
-			c.Check(n.lost.Swap(0), qt.Equals, int64(0), qt.Commentf("version %d", v))
+			n.store.put(c, resource.KindRouting, catalog.RoutingName, largeRouting(v, 1400))
+			time.Sleep(changeDeadline)
+			c.Check(n.boxesBehind(v), qt.Equals, 0, qt.Commentf("version %d", v))
+			c.Check(n.lostHeartbeats.Swap(0), qt.Equals, int64(0), qt.Commentf("version %d", v))
 			time.Sleep(2 * time.Second)
 		}
 	})
 }
 
-// TestLargeConfigurationCostsOneCallABox: a box that is not told of a large change asks the store for that kind alone.
-func TestLargeConfigurationCostsOneCallABox(t *testing.T) {
+// TestLargeConfigurationCostsOneCallPerBox checks that a box which is not sent a large change calls the store for that kind
+// alone.
+func TestLargeConfigurationCostsOneCallPerBox(t *testing.T) {
 	const boxes, changes = 66, 5
-	inNarrowCell(t, boxes, 20, func(c *qt.C, n *narrowCell) {
+	runNarrowCell(t, boxes, 20, func(c *qt.C, n *narrowCell) {
 		calls := func() (sum int64) {
 			for _, b := range n.boxes {
 				sum += b.source.calls.Load()
@@ -196,41 +200,42 @@
 		}
 		before := calls()
 		for i := range changes {
-			n.store.put(c, resource.KindRouting, catalog.RoutingName, large(int64(i+2), 1400))
-			time.Sleep(inForce)
+			n.store.put(c, resource.KindRouting, catalog.RoutingName, largeRouting(int64(i+2), 1400))
+			time.Sleep(changeDeadline)
 		}
 		c.Check(calls()-before <= boxes*changes, qt.IsTrue, qt.Commentf("%d calls", calls()-before))
 	})
 }
 
-// TestHeartbeatsComeBackOverANarrowLink takes the heartbeats from 90 boxes for a while, as when the coordinator is lost, in a cell of
-// 150 endpoints: all boxes come back at once, and the configuration changes then.
-func TestHeartbeatsComeBackOverANarrowLink(t *testing.T) {
-	inNarrowCell(t, 90, 150, func(c *qt.C, n *narrowCell) {
-		n.beating.Store(false)
+// TestHeartbeatsResumeOverNarrowLink stops the heartbeats of 90 boxes for a while, as when the coordinator is lost, in a cell
+// of 150 endpoints. All boxes return at once, and then the configuration changes.
+func TestHeartbeatsResumeOverNarrowLink(t *testing.T) {
+	runNarrowCell(t, 90, 150, func(c *qt.C, n *narrowCell) {
+		n.answering.Store(false)
 		time.Sleep(3 * time.Second)
-		n.beating.Store(true)
-		n.lost.Store(0)
+		n.answering.Store(true)
+		n.lostHeartbeats.Store(0)
 		for i := range 3 {
 			v := int64(i + 2)
 			n.store.put(c, resource.KindRouting, catalog.RoutingName, routing(v))
-			time.Sleep(inForce)
-			c.Check(n.behind(v), qt.Equals, 0, qt.Commentf("version %d", v))
+			time.Sleep(changeDeadline)
+			c.Check(n.boxesBehind(v), qt.Equals, 0, qt.Commentf("version %d", v))
 		}
-		c.Check(n.lost.Load(), qt.Equals, int64(0))
+		c.Check(n.lostHeartbeats.Load(), qt.Equals, int64(0))
 	})
 }
 
-// TestLargeConfigurationReachesABoxCutFromTheStore: what most boxes fetch from the store themselves is told to one that cannot.
-func TestLargeConfigurationReachesABoxCutFromTheStore(t *testing.T) {
-	inNarrowCell(t, 66, 20, func(c *qt.C, n *narrowCell) {
+// TestLargeConfigurationReachesBoxCutFromStore checks that a change which most boxes read from the store themselves is sent to
+// a box that cannot.
+func TestLargeConfigurationReachesBoxCutFromStore(t *testing.T) {
+	runNarrowCell(t, 66, 20, func(c *qt.C, n *narrowCell) {
 		cut := n.boxes[len(n.boxes)-1]
 		cut.source.cut.Store(true)
 		for i := range 3 {
 			v := int64(i + 2)
-			n.store.put(c, resource.KindRouting, catalog.RoutingName, large(v, 1400))
+			n.store.put(c, resource.KindRouting, catalog.RoutingName, largeRouting(v, 1400))
 			time.Sleep(6 * time.Second)
-			c.Check(n.behind(v), qt.Equals, 0, qt.Commentf("version %d", v))
+			c.Check(n.boxesBehind(v), qt.Equals, 0, qt.Commentf("version %d", v))
 		}
 	})
 }
--- a/internal/follow/relay_test.go
+++ b/internal/follow/relay_test.go
@@ -19,164 +19,165 @@
 )
 
 const (
-	beatEvery = 400 * time.Millisecond
-	relayFor  = 3 * beatEvery
+	heartbeatInterval = 400 * time.Millisecond
+	relayTimeout      = 3 * heartbeatInterval
 )
 
-// counted is a source that counts calls and can be cut off on its own.
-type counted struct {
-	*store
+// cuttableSource is a source that counts calls and can be cut off from the store on its own.
+type cuttableSource struct {
+	*fakeStore
 	calls atomic.Int64
 	cut   atomic.Bool
-	// cutFrom is a kind of which no answer comes through.
-	cutFrom atomic.Value
+	// cutKind is a kind for which all calls fail.
+	cutKind atomic.Value
 }
 
-func (s *counted) isCut(kind string) bool { return s.cut.Load() || s.cutFrom.Load() == kind }
+func (s *cuttableSource) isCut(kind string) bool { return s.cut.Load() || s.cutKind.Load() == kind }
 
 // List implements follow.Source.
-func (s *counted) List(ctx context.Context, kinds []string, after string) (objects.Changes, error) {
+func (s *cuttableSource) List(ctx context.Context, kinds []string, after string) (objects.Changes, error) {
 	s.calls.Add(1)
 	if s.isCut(kinds[0]) {
 		return objects.Changes{}, objects.ErrUnavailable
 	}
-	ch, err := s.store.List(ctx, kinds, after)
+	ch, err := s.fakeStore.List(ctx, kinds, after)
 	if kinds[0] == string(resource.KindEndpoint) {
-		ch.Objects = append(ch.Objects, s.of(resource.KindHolding)...)
+		ch.Objects = append(ch.Objects, s.objectsOf(resource.KindHolding)...)
 	}
 	return ch, err
 }
 
-// Watch implements follow.Source. A cut path says nothing until the caller gives up.
-func (s *counted) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
+// Watch implements follow.Source. If the path is cut, the call hangs for its whole time before it fails.
+func (s *cuttableSource) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	s.calls.Add(1)
-	ch, err := s.store.Watch(ctx, kinds, from, wait)
+	ch, err := s.fakeStore.Watch(ctx, kinds, from, wait)
 	if s.isCut(kinds[0]) {
 		return objects.Changes{}, objects.ErrUnavailable
 	}
 	return ch, err
 }
 
-// side is one of two boxes.
-type side struct {
-	source  *counted
+// box is a follower with its own source and catalog.
+type box struct {
+	source  *cuttableSource
 	catalog *catalog.Catalog
 	*follow.Follower
 }
 
-func newSide(s *store) *side {
-	source := &counted{store: s}
-	x := newSideOf(source)
-	x.source = source
-	return x
+func newBox(s *fakeStore) *box {
+	source := &cuttableSource{fakeStore: s}
+	b := newBoxWithSource(source)
+	b.source = source
+	return b
 }
 
-// newSideOf returns a side with another source.
-func newSideOf(source follow.Source) *side {
-	x := &side{catalog: catalog.New()}
-	x.Follower = follow.New(follow.Config{
-		Source: source, Catalog: x.catalog, Scope: tally.NoopScope, Grace: grace, RelayFor: relayFor, Kinds: []follow.Kind{
+// newBoxWithSource returns a box that reads from any source. Its field source is nil.
+func newBoxWithSource(source follow.Source) *box {
+	b := &box{catalog: catalog.New()}
+	b.Follower = follow.New(follow.Config{
+		Source: source, Catalog: b.catalog, Scope: tally.NoopScope, Grace: grace, RelayFor: relayTimeout, Kinds: []follow.Kind{
 			{Name: string(resource.KindRouting), Wait: 6 * time.Second, Relayed: true},
 			{Name: string(resource.KindEndpoint), Pace: pace, Wait: 700 * time.Millisecond, Lapses: true, Relayed: true, With: []string{string(resource.KindHolding)}},
 		},
 	})
-	return x
+	return b
 }
 
-// relayed runs two followers, the second of which has the first one's changes with heartbeats while beating is set.
-func relayed(t *testing.T, during func(c *qt.C, s *store, from, to *side, beating *atomic.Bool)) {
+// runRelaying runs two followers. The second one receives the changes of the first with heartbeats while heartbeatsOn is set.
+func runRelaying(t *testing.T, during func(c *qt.C, s *fakeStore, sender, receiver *box, heartbeatsOn *atomic.Bool)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		s := newStore()
+		s := newFakeStore()
 		s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
 		for i := range 3 {
 			s.put(c, resource.KindEndpoint, fmt.Sprint("e", i+1), endpoint(i+1))
 		}
-		from, to := newSide(s), newSide(s)
+		sender, receiver := newBox(s), newBox(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		var group errgroup.Group
-		var beating atomic.Bool
-		beating.Store(true)
-		group.Go(func() error { return from.Serve(ctx) })
-		group.Go(func() error { return to.Serve(ctx) })
+		var heartbeatsOn atomic.Bool
+		heartbeatsOn.Store(true)
+		group.Go(func() error { return sender.Serve(ctx) })
+		group.Go(func() error { return receiver.Serve(ctx) })
 		group.Go(func() error {
 			for ctx.Err() == nil {
-				if beating.Load() {
-					to.Take(from.Since(to.Known()))
+				if heartbeatsOn.Load() {
+					receiver.Take(sender.Since(receiver.Known()))
 				}
-				time.Sleep(beatEvery)
+				time.Sleep(heartbeatInterval)
 			}
 			return nil
 		})
 		time.Sleep(10 * time.Second)
-		during(c, s, from, to, &beating)
+		during(c, s, sender, receiver, &heartbeatsOn)
 		cancel()
 		_ = group.Wait()
 	})
 }
 
 func TestRelayedChangesCostNoCalls(t *testing.T) {
-	relayed(t, func(c *qt.C, s *store, _, to *side, _ *atomic.Bool) {
-		before := to.source.calls.Load()
+	runRelaying(t, func(c *qt.C, s *fakeStore, _, receiver *box, _ *atomic.Bool) {
+		before := receiver.source.calls.Load()
 		for i := range 20 {
 			s.put(c, resource.KindRouting, catalog.RoutingName, routing(int64(i+2)))
 			s.remove(fmt.Sprint("e", i))
 			s.put(c, resource.KindEndpoint, fmt.Sprint("e", i+4), endpoint(i+4))
-			time.Sleep(pace + beatEvery + 10*time.Millisecond)
-			c.Check(version(to.catalog), qt.Equals, int64(i+2))
-			c.Check(endpoints(to.catalog), qt.Equals, endpoints(s.asCatalog(c)))
+			time.Sleep(pace + heartbeatInterval + 10*time.Millisecond)
+			c.Check(routingVersion(receiver.catalog), qt.Equals, int64(i+2))
+			c.Check(endpointCount(receiver.catalog), qt.Equals, endpointCount(s.asCatalog(c)))
 		}
-		c.Check(to.source.calls.Load(), qt.Equals, before)
-		c.Check(to.StoreAge() < 2*time.Second, qt.IsTrue, qt.Commentf("%s", to.StoreAge()))
+		c.Check(receiver.source.calls.Load(), qt.Equals, before)
+		c.Check(receiver.StoreAge() < 2*time.Second, qt.IsTrue, qt.Commentf("%s", receiver.StoreAge()))
 	})
 }
 
-// TestSilentRelayIsReplacedByCalls ends the heartbeats: the box follows the store itself, within the bound on leaving endpoints.
-func TestSilentRelayIsReplacedByCalls(t *testing.T) {
-	relayed(t, func(c *qt.C, s *store, _, to *side, beating *atomic.Bool) {
-		beating.Store(false)
+// TestCallsReplaceMissingHeartbeats ends the heartbeats. The box must call the store itself, early enough for the time limit on
+// removed endpoints.
+func TestCallsReplaceMissingHeartbeats(t *testing.T) {
+	runRelaying(t, func(c *qt.C, s *fakeStore, _, receiver *box, heartbeatsOn *atomic.Bool) {
+		heartbeatsOn.Store(false)
 		s.remove("e1")
 		time.Sleep(1500 * time.Millisecond)
-		c.Check(endpoints(to.catalog), qt.Equals, 2)
+		c.Check(endpointCount(receiver.catalog), qt.Equals, 2)
 	})
 }
 
-// TestRelayCutFromTheStoreIsReplacedByCalls cuts only the relaying box from the store; its heartbeats go on.
-func TestRelayCutFromTheStoreIsReplacedByCalls(t *testing.T) {
-	relayed(t, func(c *qt.C, s *store, from, to *side, _ *atomic.Bool) {
-		from.source.cut.Store(true)
+// TestCallsReplaceRelayCutFromStore cuts only the relaying box from the store. Its heartbeats continue.
+func TestCallsReplaceRelayCutFromStore(t *testing.T) {
+	runRelaying(t, func(c *qt.C, s *fakeStore, sender, receiver *box, _ *atomic.Bool) {
+		sender.source.cut.Store(true)
 		s.remove("e1")
 		s.put(c, resource.KindRouting, catalog.RoutingName, routing(2))
 		time.Sleep(2 * time.Second)
-		c.Check(endpoints(to.catalog), qt.Equals, 2)
-		c.Check(version(to.catalog), qt.Equals, int64(2))
+		c.Check(endpointCount(receiver.catalog), qt.Equals, 2)
+		c.Check(routingVersion(receiver.catalog), qt.Equals, int64(2))
 	})
 }
 
-// TestKindThatTheRelayCannotReadIsReplacedByCalls keeps the answers of one kind from the relaying box, as when they are too large for its
-// link at the time; all others reach it, and its heartbeats go on.
-func TestKindThatTheRelayCannotReadIsReplacedByCalls(t *testing.T) {
+// TestCallsReplaceKindTheRelayCannotRead makes the relaying box's calls for one kind fail, as when the answers are too large
+// for its link at the time. Its calls for all other kinds succeed, and its heartbeats continue.
+func TestCallsReplaceKindTheRelayCannotRead(t *testing.T) {
 	for _, kind := range []resource.Kind{resource.KindRouting, resource.KindEndpoint} {
 		t.Run(string(kind), func(t *testing.T) {
-			relayed(t, func(c *qt.C, s *store, from, to *side, _ *atomic.Bool) {
-				from.source.cutFrom.Store(string(kind))
+			runRelaying(t, func(c *qt.C, s *fakeStore, sender, receiver *box, _ *atomic.Bool) {
+				sender.source.cutKind.Store(string(kind))
 				s.remove("e1")
 				s.put(c, resource.KindRouting, catalog.RoutingName, routing(2))
 				time.Sleep(2 * time.Second)
-				c.Check(endpoints(to.catalog), qt.Equals, 2)
-				c.Check(version(to.catalog), qt.Equals, int64(2))
-				from.source.cutFrom.Store("")
+				c.Check(endpointCount(receiver.catalog), qt.Equals, 2)
+				c.Check(routingVersion(receiver.catalog), qt.Equals, int64(2))
+				sender.source.cutKind.Store("")
 				time.Sleep(4 * time.Second)
-				before := to.source.calls.Load()
+				before := receiver.source.calls.Load()
 				time.Sleep(4 * time.Second)
-				c.Check(to.source.calls.Load(), qt.Equals, before)
+				c.Check(receiver.source.calls.Load(), qt.Equals, before)
 			})
 		})
 	}
 }
 
-// asCatalog returns what a box should know of the store now.
-func (s *store) asCatalog(c *qt.C) *catalog.Catalog {
+// asCatalog returns a catalog with the present content of the store.
+func (s *fakeStore) asCatalog(c *qt.C) *catalog.Catalog {
 	cat := catalog.New()
 	for _, kind := range []resource.Kind{resource.KindRouting, resource.KindEndpoint} {
 		ch, err := s.List(c.Context(), []string{string(kind)}, "")
@@ -186,27 +187,28 @@
 	return cat
 }
 
-// TestChangesArePassedOnWhole asks for changes while they are being taken in: what a box is said to know, it has been told.
-func TestChangesArePassedOnWhole(t *testing.T) {
+// TestConcurrentChangesAreRelayedCompletely relays changes while they are being applied. A box must have received all changes
+// up to the revision that it counts as known.
+func TestConcurrentChangesAreRelayedCompletely(t *testing.T) {
 	c := qt.New(t)
-	s := newStore()
+	s := newFakeStore()
 	s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
 	s.put(c, resource.KindEndpoint, "e0", endpoint(1))
 	kinds := []follow.Kind{
 		{Name: string(resource.KindRouting), Wait: time.Second, Relayed: true}, {Name: string(resource.KindEndpoint), Wait: time.Second, Relayed: true},
 	}
-	from := follow.New(follow.Config{Source: s, Catalog: catalog.New(), Scope: tally.NoopScope, Kinds: kinds})
-	told := catalog.New()
-	to := follow.New(follow.Config{Source: s, Catalog: told, Scope: tally.NoopScope, Kinds: kinds, RelayFor: relayFor})
+	sender := follow.New(follow.Config{Source: s, Catalog: catalog.New(), Scope: tally.NoopScope, Kinds: kinds})
+	received := catalog.New()
+	receiver := follow.New(follow.Config{Source: s, Catalog: received, Scope: tally.NoopScope, Kinds: kinds, RelayFor: relayTimeout})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
-	group.Go(func() error { return from.Serve(ctx) })
-	<-from.Ready()
-	var asking errgroup.Group
+	group.Go(func() error { return sender.Serve(ctx) })
+	<-sender.Ready()
+	var relaying errgroup.Group
 	stop := make(chan struct{})
-	asking.Go(func() error {
+	relaying.Go(func() error {
 		for {
-			to.Take(from.Since(to.Known()))
+			receiver.Take(sender.Since(receiver.Known()))
 			select {
 			case <-stop:
 				return nil
@@ -218,120 +220,122 @@
 	for i := range changes {
 		s.put(c, resource.KindEndpoint, fmt.Sprint("e", i), endpoint(1))
 		if i%50 == 0 {
-			// Lets the follower take changes in one by one now and then.
-			for from.Known()[string(resource.KindEndpoint)] < s.newest() {
+			// Lets the follower catch up now and then, so that it also applies changes one by one.
+			for sender.Known()[string(resource.KindEndpoint)] < s.newestRevision() {
 				time.Sleep(time.Microsecond)
 			}
 		}
 	}
-	for from.Known()[string(resource.KindEndpoint)] < s.newest() {
+	for sender.Known()[string(resource.KindEndpoint)] < s.newestRevision() {
 		time.Sleep(time.Millisecond)
 	}
 	close(stop)
-	c.Assert(asking.Wait(), qt.IsNil)
-	// What is passed on in a second is bounded.
-	for giveUp := time.Now().Add(time.Minute); to.Known()[string(resource.KindEndpoint)] < s.newest(); {
-		c.Assert(time.Now().Before(giveUp), qt.IsTrue, qt.Commentf("not all is passed on"))
-		to.Take(from.Since(to.Known()))
+	c.Assert(relaying.Wait(), qt.IsNil)
+	// The bytes sent per second are limited.
+	for giveUp := time.Now().Add(time.Minute); receiver.Known()[string(resource.KindEndpoint)] < s.newestRevision(); {
+		c.Assert(time.Now().Before(giveUp), qt.IsTrue, qt.Commentf("not all changes were relayed"))
+		receiver.Take(sender.Since(receiver.Known()))
 		time.Sleep(time.Millisecond)
 	}
-	c.Check(len(told.Names(string(resource.KindEndpoint))), qt.Equals, changes)
+	c.Check(len(received.Names(string(resource.KindEndpoint))), qt.Equals, changes)
 	cancel()
 	c.Check(group.Wait(), qt.ErrorIs, context.Canceled)
 }
 
-// TestLapsedEndpointGoesEverywhere: an endpoint that is still missing a while after an outage is given up by all boxes, also if the
-// store has no further change.
-func TestLapsedEndpointGoesEverywhere(t *testing.T) {
-	relayed(t, func(c *qt.C, s *store, from, to *side, _ *atomic.Bool) {
-		s.set(func(s *store) { s.down = true })
+// TestExpiredEndpointIsRemovedFromAllBoxes checks that all boxes remove an endpoint that is still missing some time after an
+// outage, even if the store has no further change.
+func TestExpiredEndpointIsRemovedFromAllBoxes(t *testing.T) {
+	runRelaying(t, func(c *qt.C, s *fakeStore, sender, receiver *box, _ *atomic.Bool) {
+		s.update(func(s *fakeStore) { s.down = true })
 		time.Sleep(3 * time.Second)
 		s.remove("e1")
-		s.set(func(s *store) { s.down = false })
+		s.update(func(s *fakeStore) { s.down = false })
 		time.Sleep(grace + 2*time.Second)
-		c.Check(endpoints(from.catalog), qt.Equals, 2)
-		c.Check(endpoints(to.catalog), qt.Equals, 2)
+		c.Check(endpointCount(sender.catalog), qt.Equals, 2)
+		c.Check(endpointCount(receiver.catalog), qt.Equals, 2)
 	})
 }
 
-// TestBoxBackFromItsOwnOutageDropsWhatIsGone: a box that was cut off alone keeps what the store lacks for a while; the other has long
-// given it up and says so when it tells of changes again.
-func TestBoxBackFromItsOwnOutageDropsWhatIsGone(t *testing.T) {
-	relayed(t, func(c *qt.C, s *store, from, to *side, beating *atomic.Bool) {
-		beating.Store(false)
-		to.source.cut.Store(true)
+// TestBoxDropsRemovedObjectsAfterItsOwnOutage cuts one box off alone, which then keeps for a while objects that the store
+// lacks. The other box has removed them long ago and must report this when it relays changes again.
+func TestBoxDropsRemovedObjectsAfterItsOwnOutage(t *testing.T) {
+	runRelaying(t, func(c *qt.C, s *fakeStore, sender, receiver *box, heartbeatsOn *atomic.Bool) {
+		heartbeatsOn.Store(false)
+		receiver.source.cut.Store(true)
 		time.Sleep(3 * time.Second)
 		s.remove("e1")
 		time.Sleep(3 * time.Second)
-		to.source.cut.Store(false)
-		// One list that keeps what is missing, and heartbeats again.
+		receiver.source.cut.Store(false)
+		// This is enough for one list, which keeps the missing object, before heartbeats resume.
 		time.Sleep(1100 * time.Millisecond)
-		beating.Store(true)
+		heartbeatsOn.Store(true)
 		time.Sleep(grace + 2*time.Second)
-		c.Check(endpoints(from.catalog), qt.Equals, 2)
-		c.Check(endpoints(to.catalog), qt.Equals, 2)
+		c.Check(endpointCount(sender.catalog), qt.Equals, 2)
+		c.Check(endpointCount(receiver.catalog), qt.Equals, 2)
 	})
 }
 
-// TestHoldingsComeBackWithCalls: what endpoints hold does not come with heartbeats; a box that goes back to calls needs it at once,
-// as no owner may be there to ask.
-func TestHoldingsComeBackWithCalls(t *testing.T) {
-	relayed(t, func(c *qt.C, s *store, _, to *side, beating *atomic.Bool) {
+// TestHoldingsAreListedWhenCallsResume checks that a box lists what endpoints hold as soon as it calls the store again.
+// Heartbeats do not carry holdings, and there may be no owner to request them from.
+func TestHoldingsAreListedWhenCallsResume(t *testing.T) {
+	runRelaying(t, func(c *qt.C, s *fakeStore, _, receiver *box, heartbeatsOn *atomic.Bool) {
 		holding := string(resource.KindHolding)
 		s.put(c, resource.KindHolding, "e1", &resource.Holding{Holds: []string{"a@1"}})
-		c.Check(to.catalog.Names(holding), qt.HasLen, 0)
-		beating.Store(false)
-		time.Sleep(relayFor + 2*pace)
-		c.Check(to.catalog.Names(holding), qt.DeepEquals, []string{"e1"})
+		c.Check(receiver.catalog.Names(holding), qt.HasLen, 0)
+		heartbeatsOn.Store(false)
+		time.Sleep(relayTimeout + 2*pace)
+		c.Check(receiver.catalog.Names(holding), qt.DeepEquals, []string{"e1"})
 	})
 }
 
-// TestLateDeletionIsNotMissed: a box comes back to the other's changes after the store was down; an entry has gone meanwhile, which the other
-// keeps for a while yet. The box knows the store's newest revision by then; cut off from all while the other gives the entry up, and
-// back before it has listed anything itself, it would keep the entry for good.
-func TestLateDeletionIsNotMissed(t *testing.T) {
+// TestLateDeletionReachesReconnectedBox guards against a removed entry that one box keeps forever. The entry expires while the
+// store is down. The sending box keeps it for a grace period, in which the receiving box already knows the store's newest
+// revision. The receiving box is cut off from everything while the sender removes the entry, and receives changes again before
+// it has listed anything itself.
+func TestLateDeletionReachesReconnectedBox(t *testing.T) {
 	for range 10 {
-		relayed(t, func(c *qt.C, s *store, from, to *side, beating *atomic.Bool) {
-			s.set(func(s *store) { s.down = true })
+		runRelaying(t, func(c *qt.C, s *fakeStore, sender, receiver *box, heartbeatsOn *atomic.Bool) {
+			s.update(func(s *fakeStore) { s.down = true })
 			time.Sleep(3 * time.Second)
 			s.remove("e1")
-			to.source.cut.Store(true)
-			s.set(func(s *store) { s.down = false })
-			for endpoints(from.catalog) > 2 {
+			receiver.source.cut.Store(true)
+			s.update(func(s *fakeStore) { s.down = false })
+			for endpointCount(sender.catalog) > 2 {
 				time.Sleep(10 * time.Millisecond)
-				if from.StoreAge() < 500*time.Millisecond && beating.Load() {
+				if sender.StoreAge() < 500*time.Millisecond && heartbeatsOn.Load() {
 					time.Sleep(grace - 600*time.Millisecond)
-					beating.Store(false)
+					heartbeatsOn.Store(false)
 				}
 			}
 			time.Sleep(4 * time.Second)
-			beating.Store(true)
-			time.Sleep(beatEvery + 10*time.Millisecond)
-			to.source.cut.Store(false)
+			heartbeatsOn.Store(true)
+			time.Sleep(heartbeatInterval + 10*time.Millisecond)
+			receiver.source.cut.Store(false)
 			time.Sleep(10 * time.Second)
-			c.Check(endpoints(from.catalog), qt.Equals, 2)
-			c.Check(endpoints(to.catalog), qt.Equals, 2)
+			c.Check(endpointCount(sender.catalog), qt.Equals, 2)
+			c.Check(endpointCount(receiver.catalog), qt.Equals, 2)
 		})
 	}
 }
 
-// TestEntryThatCameBackIsToldAgain: the box that tells the other loses the store for a while, and an entry goes meanwhile. The other follows
-// the store itself then and drops the entry; the first keeps it after its outage, and nothing changes for it when the entry is back. It
-// has to tell the other all the same: an endpoint of a cell was known to its coordinator alone for good.
-func TestEntryThatCameBackIsToldAgain(t *testing.T) {
-	for _, away := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second} {
-		t.Run(away.String(), func(t *testing.T) {
-			relayed(t, func(c *qt.C, s *store, from, to *side, _ *atomic.Bool) {
-				from.source.cut.Store(true)
-				time.Sleep(away - 300*time.Millisecond)
+// TestReappearedEndpointIsRelayedAgain has the sending box lose the store for a while, in which an endpoint is removed. The
+// receiving box then calls the store itself and drops the endpoint. The sender keeps it after its outage, so nothing changes
+// there when the endpoint is written again. The sender must relay it nevertheless: in one cell, only the coordinator knew such
+// an endpoint from then on.
+func TestReappearedEndpointIsRelayedAgain(t *testing.T) {
+	for _, outage := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 3 * time.Second} {
+		t.Run(outage.String(), func(t *testing.T) {
+			runRelaying(t, func(c *qt.C, s *fakeStore, sender, receiver *box, _ *atomic.Bool) {
+				sender.source.cut.Store(true)
+				time.Sleep(outage - 300*time.Millisecond)
 				s.remove("e1")
 				time.Sleep(300 * time.Millisecond)
-				from.source.cut.Store(false)
+				sender.source.cut.Store(false)
 				time.Sleep(1200 * time.Millisecond)
 				s.put(c, resource.KindEndpoint, "e1", endpoint(1))
 				time.Sleep(10 * time.Second)
-				c.Check(endpoints(from.catalog), qt.Equals, 3)
-				c.Check(endpoints(to.catalog), qt.Equals, 3)
+				c.Check(endpointCount(sender.catalog), qt.Equals, 3)
+				c.Check(endpointCount(receiver.catalog), qt.Equals, 3)
 			})
 		})
 	}
--- a/internal/follow/start_test.go
+++ b/internal/follow/start_test.go
@@ -17,28 +17,28 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestFirstWatchesWaitForHeartbeats: the pattern is a box that starts while the configuration changes ten times a second. Where heartbeats
-// begin in time it makes one call for each kind, its list; where none come it follows the store itself from then on.
-func TestFirstWatchesWaitForHeartbeats(t *testing.T) {
-	const hold = 800 * time.Millisecond
+// TestFirstWatchWaitsForHeartbeat starts a box while the configuration changes ten times per second. If heartbeats begin in
+// time, the box makes one call for each kind, its list. If none arrive, it watches the store from then on.
+func TestFirstWatchWaitsForHeartbeat(t *testing.T) {
+	const firstWatchDelay = 800 * time.Millisecond
 	for _, test := range []struct {
 		name string
-		// heartbeat is when the first one comes, zero for none.
-		heartbeat time.Duration
-		calls     int64
+		// firstHeartbeat is the time of the first heartbeat, zero for none.
+		firstHeartbeat time.Duration
+		calls          int64
 	}{
-		{name: "a heartbeat in time", heartbeat: 500 * time.Millisecond, calls: 2},
+		{name: "heartbeat in time", firstHeartbeat: 500 * time.Millisecond, calls: 2},
 		{name: "none"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newStore()
+				s := newFakeStore()
 				s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
 				s.put(c, resource.KindEndpoint, "e0", endpoint(1))
-				source, cat := &counted{store: s}, catalog.New()
+				source, cat := &cuttableSource{fakeStore: s}, catalog.New()
 				f := follow.New(follow.Config{
-					Source: source, Catalog: cat, Scope: tally.NoopScope, RelayFor: 3 * beatEvery, FirstWatch: hold, Kinds: []follow.Kind{
+					Source: source, Catalog: cat, Scope: tally.NoopScope, RelayFor: 3 * heartbeatInterval, FirstWatch: firstWatchDelay, Kinds: []follow.Kind{
 						{Name: string(resource.KindRouting), Wait: time.Second, Relayed: true}, {Name: string(resource.KindEndpoint), Wait: time.Second, Relayed: true},
 					},
 				})
@@ -49,7 +49,7 @@
 				for i := range 15 {
 					time.Sleep(100 * time.Millisecond)
 					s.put(c, resource.KindRouting, catalog.RoutingName, routing(int64(i+2)))
-					if test.heartbeat > 0 && time.Since(began) >= test.heartbeat {
+					if test.firstHeartbeat > 0 && time.Since(began) >= test.firstHeartbeat {
 						f.Take(nil, 0)
 					}
 				}
@@ -57,7 +57,7 @@
 				if test.calls > 0 {
 					c.Check(source.calls.Load(), qt.Equals, test.calls)
 				} else {
-					c.Check(version(cat), qt.Equals, int64(16))
+					c.Check(routingVersion(cat), qt.Equals, int64(16))
 				}
 				cancel()
 				_ = group.Wait()
@@ -66,24 +66,25 @@
 	}
 }
 
-// TestAskedKindsCostOneCallEach: the pattern is the first start of hundreds of boxes, whose coordinator cannot tell all of them the whole cell
-// map at once, nor the first configuration. A box makes one call for each kind that it is to ask for, and goes on without calls for all else.
-func TestAskedKindsCostOneCallEach(t *testing.T) {
+// TestRequestedCallsAreMadeOncePerKind covers the first start of hundreds of boxes, when the coordinator cannot send all of
+// them the whole cell map at once, nor the first configuration. A box makes one call for each kind that it is asked to read
+// from the store, and makes no calls for all other kinds.
+func TestRequestedCallsAreMadeOncePerKind(t *testing.T) {
 	for _, test := range []struct {
-		name  string
-		asked []string
+		name      string
+		callKinds []string
 	}{
-		{"the map", []string{coordinator.MapKind}},
-		{"the map and the configuration", []string{string(resource.KindRouting), coordinator.MapKind}},
+		{"the cell map", []string{coordinator.MapKind}},
+		{"the cell map and the configuration", []string{string(resource.KindRouting), coordinator.MapKind}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := qt.New(t)
-				s := newStore()
+				s := newFakeStore()
 				s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
-				source := &counted{store: s}
+				source := &cuttableSource{fakeStore: s}
 				f := follow.New(follow.Config{
-					Source: source, Catalog: catalog.New(), Scope: tally.NoopScope, RelayFor: 3 * beatEvery, FirstWatch: time.Second, Kinds: []follow.Kind{
+					Source: source, Catalog: catalog.New(), Scope: tally.NoopScope, RelayFor: 3 * heartbeatInterval, FirstWatch: time.Second, Kinds: []follow.Kind{
 						{Name: string(resource.KindRouting), Wait: time.Second, Relayed: true}, {Name: coordinator.MapKind, Wait: time.Second},
 					},
 				})
@@ -93,15 +94,15 @@
 				time.Sleep(100 * time.Millisecond)
 				before := source.calls.Load()
 				var changes []objects.KindChanges
-				for _, kind := range test.asked {
+				for _, kind := range test.callKinds {
 					changes = append(changes, objects.KindChanges{Kind: kind, Ask: true})
 				}
 				f.Take(changes, 0)
 				for range 20 {
-					time.Sleep(beatEvery)
+					time.Sleep(heartbeatInterval)
 					f.Take(nil, 0)
 				}
-				c.Check(source.calls.Load()-before, qt.Equals, int64(len(test.asked)))
+				c.Check(source.calls.Load()-before, qt.Equals, int64(len(test.callKinds)))
 				cancel()
 				_ = group.Wait()
 			})
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -11,120 +11,124 @@
 	"github.com/bellgap/bellgap/internal/clock"
 )
 
-// storeState says since when the store has been answering this box.
+// storeState records whether the store answers this box.
 type storeState struct {
 	scope tally.Scope
 	mu    sync.Mutex
-	away  bool
-	since time.Time
-	// heard is when the store last answered.
-	heard time.Time
-	// back is when the last outage ended; zero if there has been none.
-	back time.Time
-	// waiting ends the calls that wait for changes.
-	waiting map[uint64]context.CancelFunc
+	// lost is set during an outage, which began at lostAt.
+	lost   bool
+	lostAt time.Time
+	// lastAnswerAt is when the store last answered.
+	lastAnswerAt time.Time
+	// regainedAt is when the last outage ended, zero if there was none.
+	regainedAt time.Time
+	// cancels holds the cancel functions of the calls that wait for changes.
+	cancels map[uint64]context.CancelFunc
 	nextID  uint64
 }
 
 func newStoreState(scope tally.Scope) *storeState {
-	return &storeState{scope: scope, waiting: map[uint64]context.CancelFunc{}}
+	return &storeState{scope: scope, cancels: map[uint64]context.CancelFunc{}}
 }
 
-// whileThere returns a context that also ends when the store is lost, so that a waiting call does not outlast the path it came by.
-func (s *storeState) whileThere(ctx context.Context) (context.Context, context.CancelFunc) {
+// interruptibleContext returns a context that also ends when the store is lost or regained, so that a waiting call does not
+// outlast the network path that it uses.
+func (s *storeState) interruptibleContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextID++
 	id := s.nextID
-	s.waiting[id] = cancel
+	s.cancels[id] = cancel
 	return ctx, func() {
 		cancel()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.waiting, id)
+		delete(s.cancels, id)
 	}
 }
 
-// failed notes a failed call.
-func (s *storeState) failed(now time.Time, kind string, err error) {
+// recordFailure records a failed call. An outage begins with the first failure.
+func (s *storeState) recordFailure(now time.Time, kind string, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.lost {
 		return
 	}
-	s.away, s.since = true, now
-	s.wake()
+	s.lost, s.lostAt = true, now
+	s.interruptAllLocked()
 	s.scope.Counter("store_lost").Inc(1)
 	klog.InfoS("store lost", "kind", kind, "err", err)
 }
 
-// wakeAll ends all waiting calls.
-func (s *storeState) wakeAll() {
+// interruptAll cancels all waiting calls.
+func (s *storeState) interruptAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.wake()
+	s.interruptAllLocked()
 }
 
-func (s *storeState) wake() {
-	for _, cancel := range s.waiting {
+// interruptAllLocked cancels all waiting calls. The caller holds the lock.
+func (s *storeState) interruptAllLocked() {
+	for _, cancel := range s.cancels {
 		cancel()
 	}
 }
 
-// answered notes a call that was answered.
-func (s *storeState) answered(now time.Time) {
+// recordAnswer records an answered call, which ends an outage.
+func (s *storeState) recordAnswer(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard = now
-	if !s.away {
+	s.lastAnswerAt = now
+	if !s.lost {
 		return
 	}
-	s.regained(now, "own call")
+	s.endOutageLocked(now, "own call")
 }
 
-// isAway reports whether the store has not answered since a call failed.
-func (s *storeState) isAway() bool {
+// isLost reports whether the store has not answered since a call failed.
+func (s *storeState) isLost() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away
+	return s.lost
 }
 
-// backSince returns when the last outage ended; while one lasts, that is the present.
-func (s *storeState) backSince() time.Time {
+// lastOutageEnd returns when the last outage ended, or the present time during an outage.
+func (s *storeState) lastOutageEnd() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.away {
+	if s.lost {
 		return clock.Now()
 	}
-	return s.back
+	return s.regainedAt
 }
 
-// age returns the time since the store last answered.
-func (s *storeState) age(now time.Time) time.Duration {
+// answerAge returns the time since the store last answered.
+func (s *storeState) answerAge(now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.heard)
+	return now.Sub(s.lastAnswerAt)
 }
 
-// heardThrough notes that another box heard from the store at a time. An outage that began before ends with that: while the other box's
-// changes stand in for calls, no call of this box would end it, and the next one, much later, would take it for an outage just over.
-func (s *storeState) heardThrough(at time.Time) {
+// recordRelayedAnswer records the time at which the store answered another box. This ends an outage that began earlier. No call
+// of this box would end it while relayed changes replace calls, and the next call, much later, would treat the outage as one
+// that has just ended.
+func (s *storeState) recordRelayedAnswer(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at.After(s.heard) {
-		s.heard = at
+	if at.After(s.lastAnswerAt) {
+		s.lastAnswerAt = at
 	}
-	if s.away && at.After(s.since) {
-		s.regained(at, "another box")
+	if s.lost && at.After(s.lostAt) {
+		s.endOutageLocked(at, "another box")
 	}
 }
 
-// regained ends an outage. The caller holds the lock.
-func (s *storeState) regained(at time.Time, through string) {
-	s.away, s.back = false, at
-	// A call that was sent while the store was away may hang for seconds yet, and its end would be taken for another outage.
-	s.wake()
+// endOutageLocked ends an outage. The caller holds the lock.
+func (s *storeState) endOutageLocked(at time.Time, through string) {
+	s.lost, s.regainedAt = false, at
+	// A call that was sent during the outage may hang for seconds more, and its failure would be counted as another outage.
+	s.interruptAllLocked()
 	s.scope.Counter("store_regained").Inc(1)
-	klog.InfoS("store regained", "away", at.Sub(s.since), "through", through)
+	klog.InfoS("store regained", "away", at.Sub(s.lostAt), "through", through)
 }
--- a/internal/follow/tell.go
+++ b/internal/follow/tell.go
@@ -8,25 +8,26 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// lateFor is how long a late change is passed on: several heartbeats, and longer than another box goes without one before it asks
-// the store itself.
-const lateFor = 3 * time.Second
+// lateChangeTTL is how long a late change is sent to other boxes. It covers several heartbeats, and is longer than another box
+// waits without a heartbeat before it calls the store itself.
+const lateChangeTTL = 3 * time.Second
 
-// lateChange is a deletion of a kind that lapses, or an object of a kind that was withheld. One that was held back for a while comes when other boxes know
-// the store's revision already, so that nothing else would tell them; the others are told once more than needed.
+// lateChange is a deletion of an expiring kind, or an object that was withheld. It is applied after other boxes have received
+// the store's revision, so nothing else would make them request it. Boxes that already know the change receive it once more
+// than needed.
 type lateChange struct {
-	object objects.Object
-	at     time.Time
+	object    objects.Object
+	appliedAt time.Time
 }
 
-// dropOld drops the changes that all boxes have been told of.
-func dropOld(late []lateChange, now time.Time) []lateChange {
-	return slices.DeleteFunc(late, func(d lateChange) bool { return now.Sub(d.at) > lateFor })
+// dropExpired drops the changes older than lateChangeTTL, which all boxes have been sent by then.
+func dropExpired(late []lateChange, now time.Time) []lateChange {
+	return slices.DeleteFunc(late, func(d lateChange) bool { return now.Sub(d.appliedAt) > lateChangeTTL })
 }
 
-// noteLate adds the deletions of a kind that lapses.
-func noteLate(late []lateChange, k *kindState, ch objects.Changes, now time.Time) []lateChange {
-	late = dropOld(late, now)
+// appendLateDeletions adds the deletions of an expiring kind, and drops late changes that all boxes have been sent.
+func appendLateDeletions(late []lateChange, k *kindWatcher, ch objects.Changes, now time.Time) []lateChange {
+	late = dropExpired(late, now)
 	if !k.Lapses {
 		return late
 	}
@@ -38,150 +39,155 @@
 	return late
 }
 
-// lateOf returns the late changes of a kind that a box may not have been told of, which knows the kind up to a revision.
-func (f *Follower) lateOf(kind string, known objects.Position) []objects.Object {
+// lateChangesFor returns the late changes of a kind that a box may lack although it knows the kind up to a revision.
+func (f *Follower) lateChangesFor(kind string, known objects.Position) []objects.Object {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var out []objects.Object
-	for _, d := range f.late {
-		if d.object.Kind == kind && d.object.Version <= known && clock.Since(d.at) <= lateFor {
-			out = append(out, d.object)
+	var late []objects.Object
+	for _, d := range f.lateChanges {
+		if d.object.Kind == kind && d.object.Version <= known && clock.Since(d.appliedAt) <= lateChangeTTL {
+			late = append(late, d.object)
 		}
 	}
-	return out
+	return late
 }
 
 const (
-	// smallChange is the size of changes that every box is told of at once.
-	smallChange = 4 << 10
-	// defaultTellRate is a tenth of what a link of 10 Mbit/s carries. A configuration of 1,400 routes is 280 KB; to tell 66 boxes of it
-	// took such a link 15 seconds, in which no heartbeat was answered in time and no call of the teller's own came through.
-	defaultTellRate = 125_000
-	// reaskTime is how long after a call for a kind has failed it does not count in the age that others are told. A call that hardly waits
-	// is made at once then, and 0.3 s are ten round trips to a store that is there. A store that forgets its history leaves watches without
-	// an answer; when the age of the watch before, up to 3.5 s, was told at once, 195 boxes made 4,200 calls for nothing.
-	reaskTime = 300 * time.Millisecond
-	// untold is the age of the store's last answer as told to a box that is to ask the store itself.
-	untold = relayAge + time.Second
+	// smallChangeBytes is the maximum size of changes that are always sent to every box immediately.
+	smallChangeBytes = 4 << 10
+	// defaultRelayRate is a tenth of the capacity of a 10 Mbit/s link. A configuration of 1,400 routes is 280 KB. Sending it to
+	// 66 boxes took such a link 15 seconds, in which no heartbeat was answered in time and no call of the sending box itself
+	// succeeded.
+	defaultRelayRate = 125_000
+	// failureDelay is how long a failed call for a kind does not affect the age that is sent to other boxes. A call with almost
+	// no wait follows at once, and 0.3 s are ten round trips to a store that answers. A store that loses its history leaves
+	// watches without an answer. When the age of the previous watch, up to 3.5 s, was sent at once, 195 boxes made 4,200
+	// unnecessary calls.
+	failureDelay = 300 * time.Millisecond
+	// forceCallsAge is the age of the store's last answer that is sent to a box to make it call the store itself.
+	forceCallsAge = maxRelayedAge + time.Second
 )
 
-// allowance is what may be passed on of large changes.
-type allowance struct {
-	// rate is in bytes a second, over all boxes.
+// byteLimiter limits the bytes of large changes that are sent per second.
+type byteLimiter struct {
+	// rate is in bytes per second, summed over all receiving boxes.
 	rate float64
-	// owed is how many bytes have been passed on beyond what the time up to at allows.
-	owed float64
+	// debt is the number of bytes sent in excess of what the rate allowed up to the time at.
+	debt float64
 	at   time.Time
 }
 
-// take reports whether changes of a size may be passed on now. One that is larger than all that a second allows may pass too, and the
-// next has to wait for as long as it is worth.
-func (a *allowance) take(now time.Time, size int) bool {
-	a.owed, a.at = max(0, a.owed-now.Sub(a.at).Seconds()*a.rate), now
-	if size <= smallChange {
-		// Small changes always pass. They count up to what a second allows, so that large ones leave them room.
-		a.owed = max(a.owed, min(a.owed+float64(size), a.rate))
+// allow reports whether changes of a size may be sent now. A large change may exceed what the rate allows for one second. The
+// next large change then waits until the excess is worked off.
+func (l *byteLimiter) allow(now time.Time, size int) bool {
+	l.debt, l.at = max(0, l.debt-now.Sub(l.at).Seconds()*l.rate), now
+	if size <= smallChangeBytes {
+		// Small changes always pass. They count up to the bytes of one second, so that large changes leave room for them.
+		l.debt = max(l.debt, min(l.debt+float64(size), l.rate))
 		return true
 	}
-	if a.owed >= a.rate {
+	if l.debt >= l.rate {
 		return false
 	}
-	a.owed += float64(size)
+	l.debt += float64(size)
 	return true
 }
 
-// MayTell reports whether something of so many bytes may be told another box now.
+// MayTell reports whether size bytes may be sent to another box now.
 func (f *Follower) MayTell(size int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told.take(clock.Now(), size)
+	return f.relayLimiter.allow(clock.Now(), size)
 }
 
-// Since returns what is known here beyond known, for another box, and the time since the store last answered. What this box has through
-// another one itself is passed on with the age that it has there. No more is passed on in a second than a link carries with ease: a box
-// that could not be told all is to ask the store itself. One that cannot is told a little later.
+// Since returns the changes after the known revisions, for another box, and the time since the store last answered. Data that
+// this box receives from another box keeps the age that it has there. The bytes sent per second are limited to what a link
+// carries easily. A box that cannot be sent all changes is asked to call the store itself. If it cannot reach the store, it is
+// sent the changes a little later.
 func (f *Follower) Since(known map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
-	var out, asks []objects.KindChanges
-	f.noteTells(clock.Now())
-	age := f.tellAge(clock.Now())
+	var changes, callRequests []objects.KindChanges
+	f.recordRelaying(clock.Now())
+	age := f.relayedAge(clock.Now())
 	for _, k := range f.cfg.Kinds {
 		if f.MayTell(f.sizeSince(k, known[k.Name])) {
 			if ch, ok := f.kindSince(k, known[k.Name]); ok {
-				out = append(out, ch)
+				changes = append(changes, ch)
 			}
 			continue
 		}
 		if k.Lapses || len(k.With) > 0 {
-			// Such a kind needs calls of its own for a while, and not only one.
-			return out, max(age, untold)
+			// Such a kind needs calls for a while, not just one.
+			return changes, max(age, forceCallsAge)
 		}
-		asks = append(asks, objects.KindChanges{Kind: k.Name, Ask: true})
+		callRequests = append(callRequests, objects.KindChanges{Kind: k.Name, Ask: true})
 	}
-	return append(out, asks...), age
+	return append(changes, callRequests...), age
 }
 
-// tellsFor is how long after it was asked a box counts as one that tells others: a few heartbeats.
-const tellsFor = time.Second
+// relayingWindow is how long a box counts as relaying after another box requested changes. It covers a few heartbeats.
+const relayingWindow = time.Second
 
-func (f *Follower) noteTells(now time.Time) {
+func (f *Follower) recordRelaying(now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.toldAt = now
+	f.lastRelayedAt = now
 }
 
-// tells reports whether other boxes have been told lately.
-func (f *Follower) tells(now time.Time) bool {
+// isRelaying reports whether another box has requested changes within relayingWindow.
+func (f *Follower) isRelaying(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return now.Sub(f.toldAt) < tellsFor
+	return now.Sub(f.lastRelayedAt) < relayingWindow
 }
 
-// tellAge returns the age of what other boxes are told: that of the kind of which the store's last word is the oldest, if calls for it
-// fail. Calls that wait for a change are as good as an answer. While another box tells this one, its word stands for all kinds but those
-// that the store is to be asked for: of these nothing has been heard since.
-func (f *Follower) tellAge(now time.Time) time.Duration {
+// relayedAge returns the age of the data that is sent to other boxes. If calls for some kinds fail, it is the age of the
+// store's oldest last answer for one of these kinds. A call that waits for a change counts as answered. While another box
+// relays changes to this one, the age of the other box applies to all kinds except those that the store must be called for,
+// because no changes of these have been received since.
+func (f *Follower) relayedAge(now time.Time) time.Duration {
 	age := f.StoreAge()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	relayed := now.Before(f.relayed)
+	relayed := now.Before(f.relayedUntil)
 	for _, k := range f.cfg.Kinds {
-		switch own := f.of(k.Name); {
+		switch status := f.statusOf(k.Name); {
 		case !k.Relayed:
-		case relayed && own.asked:
-			age = max(age, now.Sub(own.askedAt))
-		case !relayed && own.failing && now.Sub(own.failedAt) > reaskTime:
-			age = max(age, now.Sub(own.answered))
+		case relayed && status.needsCall:
+			age = max(age, now.Sub(status.needsCallSince))
+		case !relayed && status.failing && now.Sub(status.failingSince) > failureDelay:
+			age = max(age, now.Sub(status.answeredAt))
 		}
 	}
 	return age
 }
 
-// sizeSince returns about how large what kindSince returns is.
+// sizeSince returns the approximate size of the result of kindSince.
 func (f *Follower) sizeSince(k Kind, known objects.Position) int {
-	if !k.Relayed || f.revision(k.Name) <= known {
+	if !k.Relayed || f.currentRevision(k.Name) <= known {
 		return 0
 	}
-	return f.cfg.Catalog.KindSize(k.Name, f.tellFrom(k.Name, known))
+	return f.cfg.Catalog.KindSize(k.Name, f.relayFrom(k.Name, known))
 }
 
-// tellFrom returns the position from which on another box is told of a kind that it knows up to a position: zero for all of it.
-func (f *Follower) tellFrom(kind string, known objects.Position) objects.Position {
-	if f.spans(kind, known) {
+// relayFrom returns the position after which changes of a kind are sent to a box that knows the kind up to a position. Zero
+// means that all objects are sent.
+func (f *Follower) relayFrom(kind string, known objects.Position) objects.Position {
+	if f.coversSince(kind, known) {
 		return known
 	}
 	return 0
 }
 
-// kindSince returns what is known of a kind beyond a revision.
+// kindSince returns the changes of a kind after a known revision, and false if there is nothing to send.
 func (f *Follower) kindSince(k Kind, known objects.Position) (objects.KindChanges, bool) {
-	own := f.revision(k.Name)
-	if !k.Relayed || own == 0 {
+	current := f.currentRevision(k.Name)
+	if !k.Relayed || current == 0 {
 		return objects.KindChanges{}, false
 	}
-	late := f.lateOf(k.Name, known)
-	if own <= known {
+	late := f.lateChangesFor(k.Name, known)
+	if current <= known {
 		return objects.KindChanges{Kind: k.Name, Revision: known, Objects: late}, len(late) > 0
 	}
-	changed, complete := f.cfg.Catalog.KindSince(k.Name, f.tellFrom(k.Name, known))
-	return objects.KindChanges{Kind: k.Name, Revision: own, Full: !complete, Objects: append(changed, late...)}, true
+	changed, complete := f.cfg.Catalog.KindSince(k.Name, f.relayFrom(k.Name, known))
+	return objects.KindChanges{Kind: k.Name, Revision: current, Full: !complete, Objects: append(changed, late...)}, true
 }
