--- a/internal/follow/age_test.go
+++ b/internal/follow/age_test.go
@@ -56,8 +56,8 @@
 }
 
 // TestReportedAgeAfterWatchFails ends one watch of a seldom changing kind without an answer, 2.5 s or more after the previous
-// call. If the store continues to answer, the age sent to other boxes must not make all of them call the store. If it does not
-// answer, it must.
+// call. If the store continues to answer, the age sent to other boxes must not make all of them call the store. If the store
+// stops answering, the age must do so.
 func TestReportedAgeAfterWatchFails(t *testing.T) {
 	const maxAge = 1300 * time.Millisecond
 	for _, test := range []struct {
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -87,8 +87,8 @@
 	probeWait = time.Millisecond
 	// relayCheckInterval is how often a follower that makes no calls checks whether it has to make calls again.
 	relayCheckInterval = 100 * time.Millisecond
-	// maxRelayedAge is the maximum age of the other box's data for which relayed changes replace calls. A call for the endpoints
-	// takes slightly more than a second when the store does not answer.
+	// maxRelayedAge is the maximum age of the other box's data for which relayed changes replace calls. It allows for one call
+	// for the endpoints, which takes slightly more than a second when the store does not answer.
 	maxRelayedAge = 1300 * time.Millisecond
 )
 
--- a/internal/follow/tell.go
+++ b/internal/follow/relay_send.go
@@ -59,10 +59,10 @@
 	// 66 boxes took such a link 15 seconds, in which no heartbeat was answered in time and no call of the sending box itself
 	// succeeded.
 	defaultRelayRate = 125_000
-	// failureDelay is how long a failed call for a kind does not affect the age that is sent to other boxes. A call with almost
-	// no wait follows at once, and 0.3 s are ten round trips to a store that answers. A store that loses its history leaves
-	// watches without an answer. When the age of the previous watch, up to 3.5 s, was sent at once, 195 boxes made 4,200
-	// unnecessary calls.
+	// failureDelay is how long a failed call for a kind does not affect the age that is sent to other boxes. After a failure, a
+	// call with almost no wait follows at once, and 0.3 s are ten round trips to a store that answers. A store that loses its
+	// history leaves watches without an answer. When the age of the previous watch, up to 3.5 s, was sent at once, 195 boxes
+	// made 4,200 unnecessary calls.
 	failureDelay = 300 * time.Millisecond
 	// forceCallsAge is the age of the store's last answer that is sent to a box to make it call the store itself.
 	forceCallsAge = maxRelayedAge + time.Second
@@ -72,15 +72,15 @@
 type byteLimiter struct {
 	// rate is in bytes per second, summed over all receiving boxes.
 	rate float64
-	// debt is the number of bytes sent in excess of what the rate allowed up to the time at.
-	debt float64
-	at   time.Time
+	// debt is the number of bytes sent in excess of what the rate allowed, as of updatedAt.
+	debt      float64
+	updatedAt time.Time
 }
 
 // allow reports whether changes of a size may be sent now. A large change may exceed what the rate allows for one second. The
 // next large change then waits until the excess is worked off.
 func (l *byteLimiter) allow(now time.Time, size int) bool {
-	l.debt, l.at = max(0, l.debt-now.Sub(l.at).Seconds()*l.rate), now
+	l.debt, l.updatedAt = max(0, l.debt-now.Sub(l.updatedAt).Seconds()*l.rate), now
 	if size <= smallChangeBytes {
 		// Small changes always pass. They count up to the bytes of one second, so that large changes leave room for them.
 		l.debt = max(l.debt, min(l.debt+float64(size), l.rate))
--- a/internal/follow/relay_test.go
+++ b/internal/follow/relay_test.go
@@ -232,8 +232,8 @@
 	close(stop)
 	c.Assert(relaying.Wait(), qt.IsNil)
 	// The bytes sent per second are limited.
-	for giveUp := time.Now().Add(time.Minute); receiver.Known()[string(resource.KindEndpoint)] < s.newestRevision(); {
-		c.Assert(time.Now().Before(giveUp), qt.IsTrue, qt.Commentf("not all changes were relayed"))
+	for deadline := time.Now().Add(time.Minute); receiver.Known()[string(resource.KindEndpoint)] < s.newestRevision(); {
+		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("not all changes were relayed"))
 		receiver.Take(sender.Since(receiver.Known()))
 		time.Sleep(time.Millisecond)
 	}
