--- a/internal/owner/action.go
+++ b/internal/owner/action.go
@@ -8,55 +8,59 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Ticket is a request that waits for the engine.
+// Ticket is a request submitted to a State.
 type Ticket struct {
 	ID      uint64
 	Ref     resource.Ref
 	Weights string
-	// Urgency orders tickets, higher first.
+	// Urgency orders tickets. Higher values start first.
 	Urgency int
 	Arrived time.Time
-	// StartBy is the latest useful start.
+	// StartBy is the latest time at which starting the request is still useful.
 	StartBy time.Time
-	// Last says that no other engine will be tried after this one.
+	// Last is true if the caller tries no other engine after this engine.
 	Last bool
-	// Prompt and Output are its tokens to read and, by the caller's guess, to write; zero if not known.
+	// Prompt is the number of prompt tokens. Output is the caller's estimate of the number of generated tokens. Zero means unknown.
 	Prompt int
 	Output int
-	// Parts are those of its prompt, in order.
+	// Parts lists the shareable parts of the prompt in order.
 	Parts []Part
-	// Accept, if positive, is the longest expected wait for its first token with which it is taken in; beyond, it is sent on.
+	// Accept is the longest acceptable expected wait for the first token. If the expected wait is longer, the ticket is refused so
+	// that the caller tries its next engine. Zero accepts any wait.
 	Accept time.Duration
-	// Near takes it in only if its adapter needs not be brought from the weight store.
+	// Near requests a refusal if the adapter would have to be loaded from the weight store.
 	Near bool
-	// Pressed says that no engine asked before can start it in time.
+	// Pressed is true if none of the engines tried before can start the request in time.
 	Pressed bool
-	// Customer is whose request it is, Rate what the asker knows of the engine's rate.
+	// Customer sent the request.
 	Customer string
-	Rate     *ratelimit.Word
-	// Lone says that this box has no authority over the engine now: another one may count its requests.
+	// Rate is the engine's rate limit as the submitting box knows it.
+	Rate *ratelimit.Word
+	// Lone is true if this box has no authority over the engine now, so that another box may also count requests against the
+	// engine's rate limit.
 	Lone bool
-	// rated says that the ticket has been taken out of the engine's rate.
+	// rated is true if the ticket has been counted against the engine's rate limit.
 	rated bool
 }
 
-// Action is what the caller of State has to do. It is sealed.
+// Action is an instruction that the caller of State must carry out. Only this package implements it.
 type Action interface{ action() }
 
-// Start lets a ticket run.
+// Start starts a ticket on the engine.
 type Start struct {
 	Ticket Ticket
-	// Stalled is how long the ticket waited for its adapter to be loaded.
+	// Stalled is the time that the ticket waited for the load of its adapter.
 	Stalled time.Duration
 }
 
-// Refuse ends a ticket that has not run.
+// Refuse rejects a ticket that has not started.
 type Refuse struct {
 	Ticket Ticket
 	Err    *result.Error
 }
 
-// AskPermit asks for one load from the weight store's budget. The permit may be used for another adapter that is more urgent when it comes.
+// AskPermit requests a permit for one load from the weight store's budget. State may use the granted permit for another adapter
+// that has become more urgent by then.
 type AskPermit struct {
 	Ref     resource.Ref
 	Urgency int
@@ -64,7 +68,7 @@
 	Waiters int
 }
 
-// Load orders the engine to load an adapter; a permit is held for it.
+// Load orders the engine to load an adapter. It uses one granted permit.
 type Load struct {
 	Ref     resource.Ref
 	Weights string
@@ -73,12 +77,12 @@
 // LoadBase orders the engine to load its base model.
 type LoadBase struct{}
 
-// Unload orders the engine to drop an idle adapter.
+// Unload orders the engine to unload an idle adapter.
 type Unload struct {
 	Ref resource.Ref
 }
 
-// ReturnPermit gives back a permit that is not needed.
+// ReturnPermit returns an unused permit.
 type ReturnPermit struct{}
 
 func (Start) action()        {}
--- a/internal/owner/basedemand.go
+++ b/internal/owner/basedemand.go
@@ -6,21 +6,23 @@
 )
 
 const (
-	// baseFrom is how many requests that no other engine asked could start in time make an engine without its base model worth loading it, and
-	// baseHalf the time in which one of them counts for half. A load takes a share of what the weight store allows for all.
-	baseFrom = 3
+	// baseLoadThreshold is the decayed number of requests at which an engine without its base model loads it. Only requests that no
+	// other tried engine could start in time count. The threshold exists because each load uses part of the weight store's budget,
+	// which all engines share.
+	baseLoadThreshold = 3
+	// baseHalf is the time in which the weight of a counted request falls by half.
 	baseHalf = time.Second
 )
 
-// baseDemand counts the requests that an engine without its base model could have served.
+// baseDemand is a decaying count of the requests that an engine could have served if its base model were loaded.
 type baseDemand struct {
 	weight float64
 	at     time.Time
 }
 
-// note counts one request and reports whether there have been enough.
+// note counts one request and reports whether the threshold has been reached.
 func (d *baseDemand) note(now time.Time) bool {
 	d.weight = d.weight*math.Exp2(-now.Sub(d.at).Seconds()/baseHalf.Seconds()) + 1
 	d.at = now
-	return d.weight >= baseFrom
+	return d.weight >= baseLoadThreshold
 }
--- a/internal/owner/basedemand_test.go
+++ b/internal/owner/basedemand_test.go
@@ -7,18 +7,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestBaseDemand: the pattern is engines that have just been added to a fleet. Where a request in a hundred finds no engine in time the new ones stay
-// without a base model; where many do, each is loaded within a second.
+// TestBaseDemand covers engines that have just been added to a fleet without a loaded base model. If one request in a hundred finds no
+// engine in time, the new engines stay without the base model. If many requests find none, each engine loads it within a second.
 func TestBaseDemand(t *testing.T) {
 	for _, test := range []struct {
 		name  string
 		every time.Duration
-		// after is after how many requests the load begins, zero if it does not.
+		// after is the number of requests after which the load starts, or zero if no load starts.
 		after int
 	}{
 		{"many", 50 * time.Millisecond, 4},
-		{"two a second", 500 * time.Millisecond, 7},
-		{"one in two seconds", 2 * time.Second, 0},
+		{"two per second", 500 * time.Millisecond, 7},
+		{"one every two seconds", 2 * time.Second, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/owner/event.go
+++ b/internal/owner/event.go
@@ -10,13 +10,13 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// verdict is the answer to a submitted ticket.
+// verdict is the decision on a submitted ticket. A nil err means that the ticket may start.
 type verdict struct {
 	stalled time.Duration
 	err     *result.Error
 }
 
-// event is an input of the loop. It is sealed.
+// event is an input of the Runner's loop.
 type event interface{ event() }
 
 type submitted struct {
@@ -56,16 +56,17 @@
 
 type reported struct{ report engine.Report }
 
-// notListening says that a report could not be asked for, as nothing listens at the engine's address.
+// notListening is posted when a report request fails because no process listens at the engine's address.
 type notListening struct{}
 
+// settled is posted when the previous owner has no requests in flight anymore.
 type settled struct{}
 
 type stopping struct{}
 
 type closing struct{ closed bool }
 
-// leftHeard says that the engine has said it leaves.
+// leftHeard is posted when the engine has announced that it is leaving.
 type leftHeard struct{}
 
 func (submitted) event()     {}
--- a/internal/owner/evict.go
+++ b/internal/owner/evict.go
@@ -8,7 +8,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// victim returns the idle loaded adapter with the least predicted use, never one in use, awaited or foreign.
+// victim returns the evictable adapter with the lowest predicted use, or nil if there is none.
 func (s *State) victim(now time.Time) *slot {
 	if now.Before(s.unloadFrom) {
 		return nil
@@ -27,10 +27,13 @@
 	return worst
 }
 
+// evictable reports whether the adapter is loaded and may be unloaded now. An adapter may not be unloaded while tickets run on it or
+// wait for it, while a broken-off run may continue, or while a previous owner may have runs on it.
 func (s *State) evictable(now time.Time, sl *slot) bool {
 	return sl.phase == loaded && s.uses[sl.ref] == 0 && !sl.foreign && !now.Before(s.lingers[sl.ref]) && !s.awaited(sl.ref)
 }
 
+// worth returns the value of keeping an adapter loaded. The adapter with the lowest value is unloaded first.
 func (s *State) worth(now time.Time, ref resource.Ref) float64 {
 	if s.cfg.Worth != nil {
 		return s.cfg.Worth(ref, now)
@@ -41,11 +44,12 @@
 	return s.rateAt(now, ref)
 }
 
+// awaited reports whether any ticket waits for ref.
 func (s *State) awaited(ref resource.Ref) bool {
 	return s.wanted[ref] > 0
 }
 
-// touch adds one use to the decayed rate of ref.
+// touch adds one use to the decaying use rate of ref.
 func (s *State) touch(now time.Time, ref resource.Ref) {
 	if len(s.rates) >= maxRememberedRates {
 		s.forgetRates(now)
@@ -58,7 +62,7 @@
 	return r.value * math.Exp2(-float64(now.Sub(r.at))/float64(s.cfg.HalfLife))
 }
 
-// forgetRates drops the adapters that have not been used for some half-lives.
+// forgetRates deletes the use rates that have decayed to almost nothing. If too many remain, it deletes all.
 func (s *State) forgetRates(now time.Time) {
 	const negligible = 0.5
 	for ref := range s.rates {
--- a/internal/owner/failing.go
+++ b/internal/owner/failing.go
@@ -14,11 +14,12 @@
 	s.refuse(t, err)
 }
 
+// failing reports whether ref is in backoff after a failed load.
 func (s *State) failing(now time.Time, ref resource.Ref) bool {
 	return now.Before(s.failures[ref].until) && s.slots[ref] == nil
 }
 
-// fail backs the adapter off and refuses those who wait for it.
+// fail starts or extends the backoff of ref and refuses the tickets that wait for it.
 func (s *State) fail(now time.Time, ref resource.Ref) {
 	f := s.failures[ref]
 	f.count++
--- a/internal/owner/lately.go
+++ b/internal/owner/lately.go
@@ -6,7 +6,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// lately remembers the adapters that an engine held last, in the order of their going.
+// lately lists the adapters that the engine unloaded most recently, oldest first.
 type lately struct {
 	most int
 	refs []resource.Ref
--- a/internal/owner/loading.go
+++ b/internal/owner/loading.go
@@ -8,7 +8,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Granted takes the permit asked for ref and uses it for the load that is most urgent now.
+// Granted handles the permit requested for ref. The permit is used for the most urgent load, which may be for another adapter.
 func (s *State) Granted(now time.Time, ref resource.Ref) []Action {
 	delete(s.asked, ref)
 	t, ok := s.mostUrgentMissing(now)
@@ -31,7 +31,7 @@
 	return s.flush(now)
 }
 
-// victimFor returns the adapter that makes way for ref: an idle former version of it, else the least useful one.
+// victimFor returns the adapter to unload before ref is loaded. It prefers an evictable other version of the same adapter.
 func (s *State) victimFor(now time.Time, ref resource.Ref) *slot {
 	if now.Before(s.unloadFrom) {
 		return nil
@@ -44,7 +44,7 @@
 	return s.victim(now)
 }
 
-// formerVersions returns the loaded versions of an adapter that a load of ref replaces.
+// formerVersions returns the loaded versions of an adapter that the engine replaces when it loads ref.
 func (s *State) formerVersions(ref resource.Ref) []*slot {
 	if !s.cfg.FinishesFirst {
 		return nil
@@ -58,7 +58,7 @@
 	return former
 }
 
-// Denied says that no permit will come for ref; it may be asked for again.
+// Denied handles the refusal of the permit requested for ref. A new permit may be requested at once.
 func (s *State) Denied(now time.Time, ref resource.Ref) []Action {
 	delete(s.asked, ref)
 	return s.flush(now)
@@ -69,7 +69,8 @@
 	s.emit(l)
 }
 
-// Unloaded ends an Unload; if it failed the adapter counts as loaded still.
+// Unloaded handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported that it
+// does not have the adapter.
 func (s *State) Unloaded(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != unloading {
@@ -94,7 +95,7 @@
 		return s.flush(now)
 	}
 	if len(s.slots) >= s.cfg.Slots {
-		// More was found to be loaded meanwhile: there is still no room.
+		// Reports have shown more loaded adapters in the meantime, so there is still no free slot.
 		s.emit(ReturnPermit{})
 		return s.flush(now)
 	}
@@ -102,13 +103,13 @@
 	return s.flush(now)
 }
 
-// notThere reports whether an engine said that what an order is for is not there.
+// notThere reports whether the order was refused because its target, the adapter or the engine instance, does not exist.
 func notThere(err error) bool {
 	var refused *engine.OrderRefusedError
 	return errors.As(err, &refused) && refused.Type == engine.RefusalNotThere
 }
 
-// Loaded ends a Load. On failure the waiters are refused and the adapter backs off.
+// Loaded handles the result of a Load. On failure the waiting tickets are refused and the adapter enters backoff.
 func (s *State) Loaded(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != loading {
@@ -132,7 +133,8 @@
 	return s.flush(now)
 }
 
-// endLoad takes a load back that has failed. Unless the engine refused it, it may still be carried out, and the slot counts.
+// endLoad handles the slot of a failed load. If neither the engine nor this box refused the order, the engine may still carry it out,
+// so the slot stays occupied for some time.
 func (s *State) endLoad(now time.Time, sl *slot, err error) {
 	var refused *engine.OrderRefusedError
 	if s.cfg.FinishesFirst && !errors.As(err, &refused) && !errors.Is(err, errNoAuthority) {
@@ -142,7 +144,7 @@
 	delete(s.slots, sl.ref)
 }
 
-// dropDoubts frees the slots of loads that can no longer be carried out.
+// dropDoubts frees the slots of unanswered loads that the engine can no longer carry out.
 func (s *State) dropDoubts(now time.Time) {
 	for ref, sl := range s.slots {
 		if sl.phase == doubtful && !now.Before(sl.doubtUntil) {
--- a/internal/owner/loading_test.go
+++ b/internal/owner/loading_test.go
@@ -12,7 +12,8 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestUnansweredLoadKeepsItsSlot: a load whose answer was lost may be carried out seconds later, so its slot is not given to another adapter.
+// TestUnansweredLoadKeepsItsSlot checks that the slot of a load whose answer was lost is not given to another adapter. The engine may
+// carry out such a load seconds later.
 func TestUnansweredLoadKeepsItsSlot(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -28,7 +29,8 @@
 	c.Check(actionsOf[owner.Load](s.Granted(now, ref(2))), qt.HasLen, 1)
 }
 
-// TestReplacedVersionKeepsItsSlotUntilTheNewOneIsThere: both count while the old one's runs go on.
+// TestReplacedVersionKeepsItsSlotUntilTheNewOneIsThere checks that the old and the new version of an adapter both occupy a slot while
+// requests still run on the old version.
 func TestReplacedVersionKeepsItsSlotUntilTheNewOneIsThere(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -45,7 +47,7 @@
 	c.Check(actionsOf[owner.Load](s.Granted(now, other)), qt.HasLen, 1)
 }
 
-// TestNothingIsLoadedBeforeTheFirstReport: what the engine holds is not known yet.
+// TestNothingIsLoadedBeforeTheFirstReport checks that no load is requested while the loaded adapters of the engine are unknown.
 func TestNothingIsLoadedBeforeTheFirstReport(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -56,7 +58,8 @@
 	c.Check(actionsOf[owner.Start](s.Tick(now)), qt.HasLen, 1)
 }
 
-// TestNoLoadWhileMoreIsHeldThanFits: reports showed more than was known, so an unload alone makes no room.
+// TestNoLoadWhileMoreIsHeldThanFits checks that no load follows an unload if reports have shown more loaded adapters than slots. The
+// unload alone does not free a slot then.
 func TestNoLoadWhileMoreIsHeldThanFits(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -71,7 +74,7 @@
 	c.Check(actionsOf[owner.ReturnPermit](actions), qt.HasLen, 1)
 }
 
-// TestUnloadOfWhatIsNotThere: an engine that says that an adapter is not there has room for another one.
+// TestUnloadOfWhatIsNotThere checks that the slot is free if the engine refuses an unload because it does not have the adapter.
 func TestUnloadOfWhatIsNotThere(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -85,7 +88,8 @@
 	c.Check(loads[0].Ref, qt.Equals, ref(2))
 }
 
-// TestFailedUnloadIsNotOrderedAgainAtOnce: a box without authority fails its own orders at once; it tries again some times a second.
+// TestFailedUnloadIsNotOrderedAgainAtOnce checks that a failed unload is repeated only a few times per second. On a box without
+// authority each order fails immediately, so that a repetition without delay would be a busy loop.
 func TestFailedUnloadIsNotOrderedAgainAtOnce(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -107,5 +111,5 @@
 		}
 		pending = s.Tick(now)
 	}
-	c.Check(unloads >= 3 && unloads <= 6, qt.IsTrue, qt.Commentf("%d unloads in a second", unloads))
+	c.Check(unloads >= 3 && unloads <= 6, qt.IsTrue, qt.Commentf("%d unloads within one second", unloads))
 }
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -15,7 +15,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// machine drives a State with every event in any order and checks what must always hold after each.
+// machine applies events to a State in random order and checks invariants after each event.
 type machine struct {
 	state   *owner.State
 	cfg     owner.Config
@@ -35,13 +35,13 @@
 		switch a := a.(type) {
 		case owner.Start:
 			if m.open[a.Ticket.ID] != a.Ticket.Ref || !m.held[a.Ticket.Ref] || m.unloads[a.Ticket.Ref] {
-				t.Fatalf("start of %v, which is not open or not loaded", a.Ticket)
+				t.Fatalf("started %v, which is not waiting or whose adapter is not loaded", a.Ticket)
 			}
 			delete(m.open, a.Ticket.ID)
 			m.running[a.Ticket.ID] = a.Ticket.Ref
 		case owner.Refuse:
 			if _, ok := m.open[a.Ticket.ID]; !ok {
-				t.Fatalf("second verdict for %v", a.Ticket)
+				t.Fatalf("refused %v, which is not waiting", a.Ticket)
 			}
 			delete(m.open, a.Ticket.ID)
 		case owner.AskPermit:
@@ -50,13 +50,13 @@
 			m.permits--
 		case owner.Load:
 			if m.permits == 0 {
-				t.Fatalf("load of %v without a permit", a.Ref)
+				t.Fatalf("loaded %v without a permit", a.Ref)
 			}
 			m.permits--
 			m.loading[a.Ref] = true
 		case owner.Unload:
 			if !m.held[a.Ref] {
-				t.Fatalf("unload of %v, which is not loaded", a.Ref)
+				t.Fatalf("unloaded %v, which is not loaded", a.Ref)
 			}
 			m.unloads[a.Ref] = true
 		}
@@ -64,28 +64,29 @@
 	m.check(t)
 }
 
-// check holds the invariants.
+// check fails the test if an invariant is violated.
 func (m *machine) check(t *rapid.T) {
 	for id, r := range m.running {
 		if m.unloads[r] && m.held[r] {
-			t.Fatalf("%v is unloaded while %d runs on it", r, id)
+			t.Fatalf("unloading %v while ticket %d runs on it", r, id)
 		}
 	}
 	if len(m.running) > m.cfg.Batch {
-		t.Fatalf("%d run, the batch is %d", len(m.running), m.cfg.Batch)
+		t.Fatalf("%d running tickets exceed the batch size %d", len(m.running), m.cfg.Batch)
 	}
 	if n := len(m.held) + len(m.loading); n > m.cfg.Slots {
-		t.Fatalf("%d adapters, %d slots", n, m.cfg.Slots)
+		t.Fatalf("%d loaded or loading adapters exceed %d slots", n, m.cfg.Slots)
 	}
 	if m.state.Waiting() != len(m.open) || m.state.InFlight() != len(m.running) {
-		t.Fatalf("the state counts %d waiting and %d in flight, there are %d and %d", m.state.Waiting(), m.state.InFlight(), len(m.open), len(m.running))
+		t.Fatalf("state counts %d waiting and %d in flight, want %d and %d",
+			m.state.Waiting(), m.state.InFlight(), len(m.open), len(m.running))
 	}
 	if m.permits < 0 {
-		t.Fatalf("a permit was used twice")
+		t.Fatalf("more permits used or returned than granted")
 	}
 }
 
-// pick draws a key; the keys are put in order, so that a failure can be repeated.
+// pick draws a random key of m. The keys are sorted first, so that a failing run can be reproduced.
 func pick[K comparable, V any](t *rapid.T, m map[K]V) (K, bool) {
 	keys := slices.Collect(maps.Keys(m))
 	if len(keys) == 0 {
@@ -117,7 +118,7 @@
 				}
 				held := m.state.Holds(r)
 				actions := m.state.Done(m.now, id, end)
-				// An old request's word does not count against an adapter that was loaded again since.
+				// EndNotLoaded of a request that started before the adapter was loaded again does not remove the adapter.
 				if held && !m.state.Holds(r) && !m.unloads[r] {
 					delete(m.held, r)
 				}
@@ -172,7 +173,7 @@
 			m.apply(t, m.state.Tick(m.now))
 		},
 	}
-	// Names are drawn evenly, so that what fills an engine is named more often.
+	// Actions are drawn with equal probability. Duplicates of the actions that fill the engine make these more frequent.
 	for _, again := range []string{"submit", "permit", "loaded"} {
 		for i := range 3 {
 			all[fmt.Sprintf("%s again %d", again, i)] = all[again]
@@ -181,7 +182,7 @@
 	return all
 }
 
-// rarely draws true in a small part of the cases.
+// rarely draws true in one of six cases.
 func rarely(t *rapid.T, label string) bool {
 	return rapid.SampledFrom([]bool{false, false, false, false, false, true}).Draw(t, label)
 }
@@ -196,7 +197,7 @@
 		t.Repeat(m.actions())
 		m.apply(t, m.state.Stop(m.now))
 		if m.state.Waiting() != 0 {
-			t.Fatal("a stopped state keeps tickets waiting")
+			t.Fatal("tickets are still waiting after Stop")
 		}
 	})
 }
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -43,7 +43,7 @@
 	r.post(unloadEnded{u.Ref, err})
 }
 
-// loadBase loads the base model of an engine that came up without it; the weight store's budget is asked first.
+// loadBase orders the engine to load its missing base model, after a permit from the weight store's budget.
 func (r *Runner) loadBase(ctx context.Context) {
 	permit, err := r.cfg.BaseLoads.Acquire(ctx, loads.Need{Engine: r.cfg.Name, Urgency: resource.MaxUrgency, StartBy: clock.Now()})
 	if err == nil {
@@ -58,13 +58,14 @@
 	r.cfg.Scope.Counter(name).Inc(1)
 	if err != nil {
 		r.cfg.Scope.Counter(name + "_failed").Inc(1)
-		klog.ErrorS(err, "order failed", "engine", r.cfg.Name, "order", name)
+		klog.ErrorS(err, "engine order failed", "engine", r.cfg.Name, "order", name)
 	}
 }
 
-var errNoAuthority = errors.New("owner: no authority to give orders now")
+var errNoAuthority = errors.New("owner: no authority to send orders")
 
-// order gives one order. An order may be repeated: engines take a load of what is loaded and an unload of what is not as done.
+// order sends one order to the engine and retries it after a failure. Repeating an order is safe: engines report success for a load of
+// a loaded adapter and for an unload of an adapter that they do not have.
 func (r *Runner) order(ctx context.Context, o engine.Order) error {
 	var err error
 	for range orderAttempts {
@@ -88,13 +89,13 @@
 	return err
 }
 
-// isFinal reports whether an order is not to be given to the same engine again after a failure.
+// isFinal reports whether an order that failed with err must not be retried.
 func isFinal(err error) bool {
 	var refused *engine.OrderRefusedError
 	return errors.As(err, &refused) || errors.Is(err, engine.ErrAuthorityOver) || errors.Is(err, engine.ErrBrokenOff)
 }
 
-// poll asks the engine for reports.
+// poll requests reports from the engine until ctx ends.
 func (r *Runner) poll(ctx context.Context) error {
 	tick := time.NewTicker(reportEvery)
 	defer tick.Stop()
@@ -104,7 +105,7 @@
 		if err != nil {
 			r.cfg.Scope.Counter("report_failures").Inc(1)
 			if errors.Is(err, syscall.ECONNREFUSED) {
-				// The process has ended. Its entry lapses only seconds later.
+				// The engine process has ended. Its entry in discovery expires only seconds later.
 				r.post(notListening{})
 			}
 		} else {
--- a/internal/owner/prefixes.go
+++ b/internal/owner/prefixes.go
@@ -6,16 +6,16 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Part is a part of a prompt that other requests may share. Its key stands for it and all parts before it.
+// Part is a part of a prompt that other requests may share. Its key identifies this part together with all parts before it.
 type Part struct {
 	Key    uint64 `json:"k"`
 	Tokens int    `json:"t"`
 }
 
 const (
-	// maxPrefixes bounds the parts remembered of one engine, at about 150 bytes each: an engine's cache holds some hundred prompts.
+	// maxPrefixes is the number of parts stored per engine, at about 150 bytes each. An engine's cache holds some hundred prompts.
 	maxPrefixes = 2048
-	// defaultCache is taken for the cache of an engine that does not tell its size, in tokens.
+	// defaultCache is the assumed cache size in tokens of an engine whose cache size is unknown.
 	defaultCache = 100000
 )
 
@@ -24,8 +24,8 @@
 	key uint64
 }
 
-// prefixes remembers which parts of prompts an engine has read for which adapter. Like the engine it forgets those that were not
-// used for the longest time when its cache is full.
+// prefixes models the prefix cache of an engine: the prompt parts that it has processed per adapter. Like the engine, it removes the
+// least recently used parts when the cache is full.
 type prefixes struct {
 	most   int
 	tokens int
@@ -37,12 +37,12 @@
 	if most <= 0 {
 		p.most = defaultCache
 	}
-	// The size is a positive constant, the only thing that is checked.
+	// NewLRU fails only if the size is not positive.
 	p.lru, _ = simplelru.NewLRU(maxPrefixes, func(_ prefixKey, tokens int) { p.tokens -= tokens })
 	return p
 }
 
-// cached returns how many tokens at the start of a prompt the engine has.
+// cached returns the number of tokens at the start of a prompt that are in the engine's cache.
 func (p *prefixes) cached(ref resource.Ref, parts []Part) int {
 	sum := 0
 	for _, part := range parts {
@@ -54,7 +54,8 @@
 	return sum
 }
 
-// add notes that the engine reads a prompt. Parts are used from the last to the first, so that a part outlives those that need it.
+// add stores the parts of a prompt. It adds the last part first, so that a part is removed later than the parts that follow it in the
+// prompt and need it.
 func (p *prefixes) add(ref resource.Ref, parts []Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		k := prefixKey{ref, parts[i].Key}
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -8,7 +8,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Submit adds a ticket.
+// Submit starts, queues or refuses a ticket.
 func (s *State) Submit(now time.Time, t Ticket) []Action {
 	s.rate.Hear(now, t.Rate)
 	if s.stopped || s.closed {
@@ -34,7 +34,7 @@
 	return s.flush(now)
 }
 
-// refuseClosed refuses a ticket that the engine cannot take, whatever it is.
+// refuseClosed refuses a ticket because the engine accepts no tickets.
 func (s *State) refuseClosed(t Ticket) {
 	if s.stopped {
 		s.refuse(t, result.New(result.NotOwner, "the engine is being handed over"))
@@ -43,7 +43,8 @@
 	s.refuse(t, result.New(result.TryNext, "the engine's box is leaving"))
 }
 
-// crowded reports whether a ticket had better try its next engine: no slot can be freed for its adapter, or the batch is full and others wait before it.
+// crowded reports whether the caller should try its next engine. This is so if no slot can be freed for the ticket's adapter, or if the
+// batch is full and too many tickets wait ahead of the ticket.
 func (s *State) crowded(now time.Time, t Ticket) bool {
 	if !t.Ref.IsBase() && s.slots[t.Ref] == nil && s.wanted[t.Ref] == 0 && len(s.slots) >= s.cfg.Slots && s.victim(now) == nil {
 		return true
@@ -66,20 +67,20 @@
 	s.emit(Refuse{Ticket: t, Err: err})
 }
 
-// refuseWorst makes room for a more urgent ticket, or refuses t.
+// refuseWorst handles a full queue. It refuses the last waiting ticket if t is more urgent, or else t.
 func (s *State) refuseWorst(now time.Time, t Ticket) {
 	worst := len(s.waiting) - 1
 	if worst >= 0 && s.waiting[worst].Urgency < t.Urgency {
 		out := s.waiting[worst]
 		s.keep(func(w Ticket) bool { return w.ID != out.ID })
-		s.refuse(out, result.New(result.QueueFull, "more urgent work came"))
+		s.refuse(out, result.New(result.QueueFull, "displaced by a more urgent request"))
 		s.enqueue(now, t)
 		return
 	}
-	s.refuse(t, result.New(result.QueueFull, "%d requests wait", len(s.waiting)))
+	s.refuse(t, result.New(result.QueueFull, "%d requests are already waiting", len(s.waiting)))
 }
 
-// keep drops the waiting tickets for which ok is false.
+// keep removes the waiting tickets for which ok returns false.
 func (s *State) keep(ok func(Ticket) bool) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(t Ticket) bool {
 		if ok(t) {
@@ -92,7 +93,7 @@
 	})
 }
 
-// enqueue keeps the waiting tickets ordered by urgency, then by latest useful start, then by arrival.
+// enqueue adds t to the waiting tickets, which are ordered by urgency, then by latest useful start, then by arrival.
 func (s *State) enqueue(now time.Time, t Ticket) {
 	t.rated = s.rate.Limited()
 	s.rate.Use(now, t.Customer)
--- a/internal/owner/rate.go
+++ b/internal/owner/rate.go
@@ -7,18 +7,18 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// loneShare is the part of its engine's rate that an owner without authority uses: there may be another one, which uses all of it. With what both save up
-// that is below one and a half times the rate and five.
+// loneShare is the share of the engine's rate limit that an owner without authority uses. Another owner may use the whole rate at the
+// same time. Including the unused requests that both accumulate, the total stays below one and a half times the rate plus five.
 const loneShare = 0.4
 
-// HearRate takes in what the engine said of the requests a second that it takes.
+// HearRate updates the engine's rate limit in requests per second.
 func (s *State) HearRate(now time.Time, w *ratelimit.Word) { s.rate.Hear(now, w) }
 
-// Rate returns what the engine names, nil if it names none.
+// Rate returns the engine's rate limit, or nil if it has none.
 func (s *State) Rate(now time.Time) *ratelimit.Word { return s.rate.Word(now) }
 
-// overRate returns why a ticket may not go to the engine for its rate, nil if it may. An adapter is brought to an engine that names a rate only for
-// what would be left of that, or where no other engine can start the request.
+// overRate returns an error if the engine's rate limit does not admit the ticket. On an engine with a rate limit, a ticket that needs
+// a load from the weight store is admitted only if the limit would otherwise stay unused or if no other engine can start the request.
 func (s *State) overRate(now time.Time, t Ticket) *result.Error {
 	ask := ratelimit.Ask{Urgency: t.Urgency, Customer: t.Customer, Dear: !t.Last && !t.Pressed && !s.near(t.Ref)}
 	if t.Lone {
@@ -28,12 +28,12 @@
 	if ok {
 		return nil
 	}
-	err := result.New(result.RateLimited, "the engine takes %.3g requests a second", s.rate.Word(now).Rate)
+	err := result.New(result.RateLimited, "the engine accepts %.3g requests per second", s.rate.Word(now).Rate)
 	err.RetryAfter = wait
 	return err
 }
 
-// unrate gives back what a ticket took that will not run.
+// unrate returns the share of the rate limit that was counted for a ticket that will not run.
 func (s *State) unrate(t Ticket) {
 	if t.rated {
 		s.rate.GiveBack()
--- a/internal/owner/rate_test.go
+++ b/internal/owner/rate_test.go
@@ -11,10 +11,10 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// rateBase is the virtual start of time.
+// rateBase is the start time of the tests.
 var rateBase = time.Unix(1_800_000_000, 0)
 
-// ratedState returns an engine that holds one adapter and names a rate.
+// ratedState returns the state of an engine that has one loaded adapter and a rate limit.
 func ratedState(rate float64) *State {
 	s := New(Config{Slots: 4, Batch: 8, MaxQueue: 16, FinishesFirst: true})
 	s.Adopt([]resource.Ref{{Adapter: "held", Version: "1"}}, false)
@@ -22,12 +22,12 @@
 	return s
 }
 
-// ratedTicket is a request for an adapter.
+// ratedTicket returns a ticket for an adapter that must be refused if the adapter would have to be loaded from the weight store.
 func ratedTicket(now time.Time, id uint64, adapter string) Ticket {
 	return Ticket{ID: id, Ref: resource.Ref{Adapter: adapter, Version: "1"}, Arrived: now, StartBy: now.Add(time.Second), Accept: time.Minute, Near: true}
 }
 
-// refusedBy returns the code of a refusal among actions, zero if there is none.
+// refusedBy returns the result code of the first Refuse in actions, or zero if there is none.
 func refusedBy(actions []Action) result.Code {
 	for _, a := range actions {
 		if r, ok := a.(Refuse); ok {
@@ -37,6 +37,7 @@
 	return 0
 }
 
+// TestOwnerKeepsToTheRate checks that a rate of 2 requests per second admits about 40 requests in 20 seconds.
 func TestOwnerKeepsToTheRate(t *testing.T) {
 	c := qt.New(t)
 	s := ratedState(2)
@@ -55,21 +56,27 @@
 	c.Check(started >= 38 && started <= 43, qt.IsTrue, qt.Commentf("%d started", started))
 }
 
+// TestAdaptersAreBroughtToEnginesInNeedLast checks which requests an engine with a rate limit admits if their adapter has to be loaded
+// from the weight store. It offers to start the request (TryNext with an expected wait) if no other engine can start it, or if the rate is
+// unused. It queues the request if this engine is the caller's last.
 func TestAdaptersAreBroughtToEnginesInNeedLast(t *testing.T) {
 	c := qt.New(t)
 	s := ratedState(1)
 	now := rateBase.Add(1500 * time.Millisecond)
-	c.Check(refusedBy(s.Submit(now, ratedTicket(now, 1, "other"))), qt.Equals, result.RateLimited, qt.Commentf("one is free, for those whose adapter is there"))
+	c.Check(refusedBy(s.Submit(now, ratedTicket(now, 1, "other"))), qt.Equals, result.RateLimited,
+		qt.Commentf("one request is free, but it is reserved for requests whose adapter is loaded"))
 	pressed := ratedTicket(now, 2, "other")
 	pressed.Pressed = true
-	c.Check(refusedBy(s.Submit(now, pressed)), qt.Equals, result.TryNext, qt.Commentf("others cannot start it: an offer"))
+	c.Check(refusedBy(s.Submit(now, pressed)), qt.Equals, result.TryNext, qt.Commentf("no other engine can start it: an offer"))
 	now = now.Add(10 * time.Second)
-	c.Check(refusedBy(s.Submit(now, ratedTicket(now, 3, "other"))), qt.Equals, result.TryNext, qt.Commentf("nobody uses the rate: an offer"))
+	c.Check(refusedBy(s.Submit(now, ratedTicket(now, 3, "other"))), qt.Equals, result.TryNext,
+		qt.Commentf("the rate is unused: an offer"))
 	last := ratedTicket(now, 4, "other")
 	last.Last, last.Near, last.Accept = true, false, 0
 	c.Check(refusedBy(s.Submit(now, last)), qt.Equals, result.Code(0))
 }
 
+// TestWhatDoesNotStartGivesItsPartBack checks that canceled and expired tickets no longer count against the rate limit.
 func TestWhatDoesNotStartGivesItsPartBack(t *testing.T) {
 	c := qt.New(t)
 	s := ratedState(0.5)
@@ -89,6 +96,7 @@
 	c.Check(refusedBy(s.Submit(now, ratedTicket(now, 5, "held"))), qt.Equals, result.Code(0))
 }
 
+// TestEngineThatStartsAgainHasNamedNoRate checks that the rate limit ends when the engine restarts.
 func TestEngineThatStartsAgainHasNamedNoRate(t *testing.T) {
 	c := qt.New(t)
 	s := ratedState(0.1)
@@ -98,7 +106,8 @@
 	c.Check(refusedBy(s.Submit(rateBase, ratedTicket(rateBase, 2, "held"))), qt.Equals, result.Code(0))
 }
 
-// TestOwnerWithoutAuthorityUsesAPart: another owner may count the same engine's requests.
+// TestOwnerWithoutAuthorityUsesAPart checks that an owner without authority uses only a share of the engine's rate limit, because
+// another owner may use the limit at the same time.
 func TestOwnerWithoutAuthorityUsesAPart(t *testing.T) {
 	c := qt.New(t)
 	s := ratedState(2)
@@ -112,5 +121,5 @@
 			s.Done(now, i, EndWhole)
 		}
 	}
-	c.Check(started >= 14 && started <= 18, qt.IsTrue, qt.Commentf("%d of 40", started))
+	c.Check(started >= 14 && started <= 18, qt.IsTrue, qt.Commentf("%d started, the full rate allows 40", started))
 }
--- a/internal/owner/reading.go
+++ b/internal/owner/reading.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	// readSmoothing is the weight of the newest prompt in the mean time that a token takes to read.
+	// readSmoothing is the weight of the newest prompt in the mean prefill time per token.
 	readSmoothing = 0.1
-	// maxRise bounds how much longer than expected a token is taken to have taken: prompts are held up by work that the owner does
-	// not know of, such as that which an owner before it left, and by more urgent ones.
+	// maxRise limits a sample to this multiple of the expected time per token. Prompts may be delayed by more urgent prompts and by work
+	// unknown to this owner, such as requests of a previous owner.
 	maxRise = 2
-	// minSample is how many tokens have to be read for their time to tell of the engine rather than of messages and steps.
+	// minSample is the smallest number of tokens whose prefill time is used as a sample. With fewer tokens, message latency and engine
+	// steps dominate the time.
 	minSample = 1000
 )
 
-// reading is what an owner knows of the prompts that its engine has been given and not read yet. Engines read one after the other,
-// the more urgent first, and make a request's first token once its prompt is read.
+// reading tracks the prompts that were sent to the engine and are not processed yet. An engine processes prompts one after the other,
+// the more urgent ones first, and generates the first token of a request as soon as its prompt is processed.
 type reading struct {
 	policy policy.Policy
-	// perToken is the time that an engine takes for a token, as observed over samples prompts.
+	// perToken is the mean prefill time per token, observed over samples prompts.
 	perToken time.Duration
 	samples  int
 	unread   []unread
-	// since is when the engine began with the first of them.
+	// since is the time when the engine started to process the prompt at its head.
 	since time.Time
-	// cache holds the parts of prompts that the engine has read.
+	// cache holds the prompt parts that the engine has processed.
 	cache *prefixes
 }
 
-// unread is a prompt that the engine has been given.
+// unread is a prompt that was sent to the engine and is not processed yet.
 type unread struct {
 	id      uint64
 	urgency int
-	// tokens are those that the engine does not have from earlier prompts, before counts those that it reads first.
+	// tokens is the number of prompt tokens that are not in the engine's cache.
 	tokens int
+	// before is the number of tokens of other prompts that the engine processes first.
 	before int
 	at     time.Time
 }
@@ -49,10 +51,10 @@
 	return r
 }
 
-// time returns how long reading tokens takes.
+// time returns the expected prefill time of a number of tokens.
 func (r *reading) time(tokens int) time.Duration { return time.Duration(tokens) * r.perToken }
 
-// tokens returns how many tokens of a ticket's prompt the engine has to read.
+// tokens returns the number of prompt tokens that the engine has to process for a ticket.
 func (r *reading) tokens(t Ticket) int {
 	if !r.policy.On(policy.Prefixes) {
 		return t.Prompt
@@ -60,7 +62,7 @@
 	return max(0, t.Prompt-r.cache.cached(t.Ref, t.Parts))
 }
 
-// begin notes that the engine has been given a ticket's prompt.
+// begin records that a ticket's prompt was sent to the engine.
 func (r *reading) begin(now time.Time, t Ticket) {
 	u := unread{id: t.ID, urgency: t.Urgency, tokens: r.tokens(t), before: r.backlog(now, t.Urgency), at: now}
 	if len(r.unread) == 0 {
@@ -70,7 +72,7 @@
 	r.cache.add(t.Ref, t.Parts)
 }
 
-// read notes that a prompt has been read: its first token has come.
+// read records that the engine has processed a prompt, because the first token has arrived.
 func (r *reading) read(now time.Time, id uint64) {
 	u, ok := r.drop(id)
 	if !ok {
@@ -82,7 +84,8 @@
 	}
 }
 
-// observe takes the time that a token took in. The first few prompts count more, unless they took long.
+// observe updates the mean prefill time per token with a sample. The first few samples have a higher weight unless they are slower
+// than the mean.
 func (r *reading) observe(took time.Duration) {
 	r.samples++
 	weight := readSmoothing
@@ -93,7 +96,7 @@
 	r.perToken += time.Duration(weight * float64(took-r.perToken))
 }
 
-// drop forgets a prompt.
+// drop removes a prompt from the unprocessed prompts.
 func (r *reading) drop(id uint64) (unread, bool) {
 	i := slices.IndexFunc(r.unread, func(u unread) bool { return u.id == id })
 	if i < 0 {
@@ -104,7 +107,7 @@
 	return u, true
 }
 
-// backlog returns how many tokens the engine reads before a new prompt of an urgency.
+// backlog returns the number of tokens that the engine processes before a new prompt of the given urgency.
 func (r *reading) backlog(now time.Time, urgency int) int {
 	sum, first := 0, 0
 	for _, u := range r.unread {
@@ -119,9 +122,9 @@
 	if r.perToken <= 0 {
 		return 0
 	}
-	// A part of the first one has been read already.
+	// Part of the first prompt has been processed already.
 	return sum - min(first, int(now.Sub(r.since)/r.perToken))
 }
 
-// restarted forgets what an engine that came up empty had.
+// restarted clears the cached parts, because a restarted engine has an empty cache.
 func (r *reading) restarted() { r.cache.clear() }
--- a/internal/owner/reading_test.go
+++ b/internal/owner/reading_test.go
@@ -10,7 +10,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// expected returns the wait that an engine expects for a prompt of some tokens.
+// expected returns the expected wait for the first token of a new request.
 func expected(c *qt.C, s *owner.State, now time.Time, prompt, urgency int, parts ...owner.Part) time.Duration {
 	actions := s.Submit(now, owner.Ticket{
 		ID: 9999, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: prompt, Urgency: urgency, Parts: parts, Accept: time.Nanosecond,
@@ -20,11 +20,12 @@
 	return refused[0].Err.RetryAfter
 }
 
+// give submits a ticket that starts at once.
 func give(s *owner.State, now time.Time, id uint64, prompt int, parts ...owner.Part) {
 	s.Submit(now, owner.Ticket{ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: prompt, Urgency: 1, Parts: parts, Last: true})
 }
 
-// engines are two unlike ones: how fast they read, and the tokens of their caches.
+// engines lists two different engines with their prefill rate in tokens per second and their cache size in tokens.
 var engines = []struct {
 	name string
 	rate float64
@@ -34,7 +35,7 @@
 	{"slow, small cache", 5000, 40000},
 }
 
-// TestReadingIsObserved: whatever the setting says, the time to a first token is soon that of the engine itself.
+// TestReadingIsObserved checks that the expected wait soon follows the observed prefill rate instead of the configured rate.
 func TestReadingIsObserved(t *testing.T) {
 	for _, tt := range engines {
 		t.Run(tt.name, func(t *testing.T) {
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestSharedPartsAreReadOnce: parts that the engine has read count no more for the same adapter, until others have taken their place.
+// TestSharedPartsAreReadOnce checks that cached prompt parts do not add to the expected wait until other parts have displaced them.
 func TestSharedPartsAreReadOnce(t *testing.T) {
 	for _, tt := range engines {
 		t.Run(tt.name, func(t *testing.T) {
@@ -81,7 +82,8 @@
 	}
 }
 
-// TestUrgentPromptsAreReadFirst: a prompt waits for those of its urgency and above, and for what is left of them.
+// TestUrgentPromptsAreReadFirst checks that a prompt waits only for prompts of the same or a higher urgency, and only for the part of
+// them that is not processed yet.
 func TestUrgentPromptsAreReadFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -100,8 +102,8 @@
 	c.Check(expected(c, s, now, 100, 1), qt.Equals, 100*time.Millisecond)
 }
 
-// TestHeldUpPromptsTeachLittle: prompts that took ten times as long, behind work that the owner does not know of, do not make the
-// engine look slow for long.
+// TestHeldUpPromptsTeachLittle checks that a few prompts that took ten times as long, because of work unknown to the owner, do not raise
+// the expected wait for long.
 func TestHeldUpPromptsTeachLittle(t *testing.T) {
 	for _, tt := range engines {
 		t.Run(tt.name, func(t *testing.T) {
--- a/internal/owner/reconcile.go
+++ b/internal/owner/reconcile.go
@@ -7,21 +7,23 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// steadyReports is how many reports in a row have to say the same against what the owner knows; a single one may be older than the last order.
+// steadyReports is the number of consecutive reports that must show the same difference before the state is corrected. A single report
+// may be older than the last order.
 const steadyReports = 3
 
-// reconciler compares reports with what the owner knows. One goroutine uses it.
+// reconciler compares engine reports with the State. It is not safe for concurrent use.
 type reconciler struct {
-	// unknown counts reports in a row with an adapter that the owner does not know of, absent those without one it holds.
+	// unknown counts the consecutive reports that list an adapter missing from the State.
 	unknown map[resource.Ref]int
-	absent  map[resource.Ref]int
+	// absent counts the consecutive reports without an adapter that the State has as loaded.
+	absent map[resource.Ref]int
 }
 
 func newReconciler() *reconciler {
 	return &reconciler{unknown: map[resource.Ref]int{}, absent: map[resource.Ref]int{}}
 }
 
-// compare takes a report in and returns what steadily differs: adapters to adopt and adapters that are gone.
+// compare evaluates a report. It returns the adapters to adopt and the adapters that are gone, according to enough consecutive reports.
 func (r *reconciler) compare(s *State, rep engine.Report) (adopt, gone []resource.Ref) {
 	reported := refsOf(rep)
 	adopt = steady(r.unknown, reported, func(ref resource.Ref) bool { return !s.Knows(ref) })
@@ -30,7 +32,8 @@
 	return adopt, gone
 }
 
-// steady counts for how many calls in a row differs held for each ref, forgets the others, and returns those that reached the limit.
+// steady increments the count of each ref for which differs returns true and removes all other counts. It returns the refs whose count
+// has reached steadyReports.
 func steady(counts map[resource.Ref]int, refs []resource.Ref, differs func(resource.Ref) bool) []resource.Ref {
 	var found []resource.Ref
 	next := map[resource.Ref]int{}
@@ -49,7 +52,7 @@
 	return found
 }
 
-// refsOf returns the adapter versions that a report lists; names that are none are not ours.
+// refsOf returns the adapter versions that a report lists as loaded. It skips other names, since this system did not load them.
 func refsOf(rep engine.Report) []resource.Ref {
 	var refs []resource.Ref
 	for _, m := range rep.Loaded {
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -10,10 +10,12 @@
 	"github.com/bellgap/bellgap/internal/policy"
 )
 
-// report corrects the state: a new incarnation is empty, the first report shows what is loaded, later ones correct what steadily differs.
+// report updates the state from an engine report. The first report of an incarnation shows the loaded adapters. A changed incarnation
+// means that the engine has restarted and is empty. Later reports correct differences that persist.
 func (r *Runner) report(now time.Time, rep engine.Report) []Action {
 	if rate := rep.Notice.Rate; rate.Limited {
-		// As with answers: a life that is not known yet would go before all that they say of this one.
+		// The start time from discovery is used, as for rates in answers. A start time that is not known here yet would take precedence over
+		// all rates received for the current instance.
 		rate.Started = r.cfg.Engine.Started
 		r.state.HearRate(now, &rate)
 	}
@@ -53,14 +55,14 @@
 	if len(adopt)+len(gone) == 0 {
 		return nil
 	}
-	klog.InfoS("engine differs from what was known", "engine", r.cfg.Name, "unknown", adopt, "gone", gone)
+	klog.InfoS("loaded adapters differ from recorded state", "engine", r.cfg.Name, "unknown", adopt, "gone", gone)
 	r.cfg.Scope.Counter("engine_corrections").Inc(int64(len(adopt) + len(gone)))
 	r.state.Adopt(adopt, r.foreign)
 	return r.state.Lost(now, gone)
 }
 
-// wanted takes a request for an engine without its base model in: enough of them that no engine asked before could start in time begin its load. One that
-// names a rate is left without.
+// wanted counts a ticket for an engine without its base model, if no other tried engine could start the ticket in time. Enough such
+// tickets start the load of the base model. An engine with a rate limit gets no base model.
 func (r *Runner) wanted(now time.Time, t Ticket) []Action {
 	if !r.baseMissing || !t.Pressed || r.state.Rate(now) != nil || !r.demand.note(now) {
 		return nil
@@ -68,7 +70,7 @@
 	return r.loadMissing()
 }
 
-// loadMissing begins the load of the base model, once.
+// loadMissing starts the load of the base model unless it is already being loaded.
 func (r *Runner) loadMissing() []Action {
 	if r.baseLoading {
 		return nil
@@ -77,13 +79,13 @@
 	return []Action{LoadBase{}}
 }
 
-// close sends what waits to other engines while this one can take nothing.
+// close closes the state, so that waiting tickets go to other engines, if there is a reason to, and otherwise opens it again.
 func (r *Runner) close(now time.Time) []Action {
 	return r.state.Close(now, r.leaving || r.left || r.baseMissing || r.gone)
 }
 
-// noteGone closes the state when the engine has refused an order as not there: its entry in discovery lapses seconds later, and
-// whatever waits here until then waits in vain. The next report opens it again.
+// noteGone closes the state if the engine refused an order because its target does not exist. The engine's entry in discovery expires
+// only seconds later, and tickets that wait here until then would not start. The next report opens the state again.
 func (r *Runner) noteGone(now time.Time, err error) []Action {
 	if !notThere(err) {
 		return nil
@@ -91,12 +93,12 @@
 	return r.goneNow(now, err.Error())
 }
 
-// goneNow closes the state until the next report.
+// goneNow closes the state until the next report of the engine.
 func (r *Runner) goneNow(now time.Time, why string) []Action {
 	if r.gone {
 		return nil
 	}
-	klog.InfoS("engine not there", "engine", r.cfg.Name, "why", why)
+	klog.InfoS("engine not found, closed until its next report", "engine", r.cfg.Name, "why", why)
 	r.cfg.Scope.Counter("engines_not_there").Inc(1)
 	r.gone = true
 	return r.close(now)
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -30,13 +30,14 @@
 	spareOrders   = 8
 )
 
-// Authority says whether this box may give orders now, and under which epoch.
+// Authority reports whether this box may send orders now, and under which epoch.
 type Authority func(now time.Time) (epoch uint64, ok bool)
 
-// Engines gives engines orders and asks for their reports. It is an interface at the network boundary.
+// Engines sends orders to engines and fetches their reports over the network.
 type Engines interface {
-	// Give returns once the order is carried out. An *engine.OrderRefusedError says that it was not.
+	// Give sends an order and returns once the engine has carried it out. It returns an *engine.OrderRefusedError if the engine refuses.
 	Give(ctx context.Context, to engine.Target, o engine.Order) error
+	// Report fetches the current report of an engine.
 	Report(ctx context.Context, from engine.Target) (engine.Report, error)
 }
 
@@ -45,24 +46,25 @@
 	// Name and Engine describe the engine that is owned.
 	Name   string
 	Engine resource.Engine
-	// MaxQueue bounds the waiting requests.
+	// MaxQueue is the maximum number of waiting requests.
 	MaxQueue int
-	// Pack lets work of no urgency start only beside urgent work.
+	// Pack delays requests of urgency 0 until urgent requests run.
 	Pack   bool
 	Client Engines
-	// Loads gives permits for adapters, BaseLoads for base models.
-	Loads     loads.Source
+	// Loads grants permits for adapter loads.
+	Loads loads.Source
+	// BaseLoads grants permits for base model loads.
 	BaseLoads loads.Source
-	// PrefillRate is how many prompt tokens the engine reads in a second.
+	// PrefillRate is the initial estimate of the engine's prefill rate in tokens per second.
 	PrefillRate float64
 	Policy      policy.Policy
-	// Authority is asked right before each order.
+	// Authority is called right before each order.
 	Authority Authority
-	// Rate is what this box knows of the engine's rate, nil if that is nothing.
+	// Rate is the engine's last known rate limit, or nil if none is known.
 	Rate *ratelimit.Word
-	// Left says that the engine has said it leaves.
+	// Left is true if the engine has announced that it is leaving.
 	Left bool
-	// Notices hears what the engine says of itself with its reports; nil where its owner alone has to know.
+	// Notices receives the notices in the engine's reports. It is nil if only the owner needs them.
 	Notices *notice.Board
 	Scope   tally.Scope
 }
@@ -73,15 +75,19 @@
 	events chan event
 	done   chan struct{}
 	nextID atomic.Uint64
-	// inFlight and stopped are shown after each event, for handing over; ordering counts orders under way.
+	// inFlight is the number of running requests after the last event. It is needed for the handover of the engine, as are stopped
+	// and ordering.
 	inFlight atomic.Int64
-	stopped  atomic.Bool
+	// stopped is true once the loop has handled Stop.
+	stopped atomic.Bool
+	// ordering is the number of orders in flight.
 	ordering atomic.Int64
-	// rate is what the engine names, hasLeft whether it has said that it leaves, as of the last event.
-	rate    atomic.Pointer[ratelimit.Word]
+	// rate is the engine's rate limit after the last event.
+	rate atomic.Pointer[ratelimit.Word]
+	// hasLeft is the value of left after the last event.
 	hasLeft atomic.Bool
 
-	// The fields below belong to the loop.
+	// Only the loop may access the fields from here to gone.
 	state       *State
 	replies     map[uint64]chan verdict
 	permits     []loads.Permit
@@ -89,35 +95,41 @@
 	foreign     bool
 	reconciler  *reconciler
 	orders      *errgroup.Group
-	// baseMissing says that the engine lacks its base model, leaving that its box is leaving, left that it has said in this life that it leaves
-	// itself, gone that it has refused an order as not there and no report has come since; each closes the state.
+	// Each of baseMissing, leaving, left and gone closes the state.
+
+	// baseMissing is true if the engine has not loaded its base model.
 	baseMissing bool
-	// baseLoading says that the base model is being loaded, demand counts the requests for it.
+	// baseLoading is true while the base model is being loaded.
 	baseLoading bool
-	demand      baseDemand
-	leaving     bool
-	left        bool
-	gone        bool
-
+	// demand counts the requests that the missing base model could have served.
+	demand baseDemand
+	// leaving is true if the engine's box is leaving.
+	leaving bool
+	// left is true if the engine has announced since its last start that it is leaving.
+	left bool
+	// gone is true if the engine was not found and has sent no report since.
+	gone bool
+
+	// mu guards status.
 	mu     sync.Mutex
 	status Status
 }
 
-// Status is what a Runner shows of itself.
+// Status describes a Runner for operators.
 type Status struct {
 	Engine   string   `json:"engine"`
 	InFlight int      `json:"in_flight"`
 	Waiting  int      `json:"waiting"`
 	Loaded   []string `json:"loaded"`
-	// Frozen says that orders are withheld for want of authority.
+	// Frozen is true while this box has no authority to send orders to the engine.
 	Frozen bool `json:"frozen,omitempty"`
-	// Left says that the engine has said it leaves.
+	// Left is true if the engine has announced that it is leaving.
 	Left bool `json:"left,omitempty"`
-	// RateRefused is how many requests were kept from the engine for the rate that it names, since it names one.
+	// RateRefused is the number of requests refused because of the engine's rate limit, since the engine set one.
 	RateRefused int `json:"rate_refused,omitempty"`
 }
 
-// NewRunner returns a Runner; its Serve has to run.
+// NewRunner returns a Runner, which handles requests while Serve runs.
 func NewRunner(cfg RunnerConfig) *Runner {
 	r := &Runner{
 		cfg: cfg, events: make(chan event, eventRing), done: make(chan struct{}),
@@ -129,7 +141,7 @@
 		status: Status{Engine: cfg.Name}, left: cfg.Left,
 	}
 	if r.left {
-		// Nothing waits yet, so that there is nothing to do.
+		// No tickets wait yet, so there are no actions to carry out.
 		_ = r.close(clock.Now())
 	}
 	r.state.rate.Born(cfg.Engine.Started)
@@ -140,29 +152,29 @@
 // Name returns the engine's name.
 func (r *Runner) Name() string { return r.cfg.Name }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended.
 func (r *Runner) Done() <-chan struct{} { return r.done }
 
-// Status returns what the loop last showed.
+// Status returns the status that the loop published last.
 func (r *Runner) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.status
 }
 
-// InFlight returns how many started requests have not ended.
+// InFlight returns the number of running requests.
 func (r *Runner) InFlight() int { return int(r.inFlight.Load()) }
 
-// Stopped reports whether nothing more will start and no order is under way.
+// Stopped reports whether Stop has taken effect and no order is in flight.
 func (r *Runner) Stopped() bool { return r.stopped.Load() && r.ordering.Load() == 0 }
 
-// Settle says that the previous owner has nothing in flight any more.
+// Settle allows the unloading of adapters taken over from the previous owner, which has no requests in flight anymore.
 func (r *Runner) Settle() { r.post(settled{}) }
 
-// Stop refuses all that waits; what has started goes on.
+// Stop refuses the waiting requests and all further requests. Running requests continue.
 func (r *Runner) Stop() { r.post(stopping{}) }
 
-// post hands an event to the loop unless it has ended.
+// post sends an event to the loop. If the loop has ended, it releases the event instead.
 func (r *Runner) post(e event) {
 	select {
 	case r.events <- e:
@@ -171,82 +183,85 @@
 	}
 }
 
-// HearRate takes in what the engine, or another box, said of its rate.
+// HearRate updates the engine's rate limit, as received from the engine or from another box.
 func (r *Runner) HearRate(w ratelimit.Word) { r.post(rateHeard{w}) }
 
-// Rate returns what the engine names, nil if it names none.
+// Rate returns the engine's rate limit, or nil if it has none.
 func (r *Runner) Rate() *ratelimit.Word { return r.rate.Load() }
 
-// HearLeft takes in that the engine has said it leaves: it gets no more orders and requests until it starts again.
+// HearLeft records that the engine has announced that it is leaving. It gets no new requests or orders until it
+// restarts.
 func (r *Runner) HearLeft() { r.post(leftHeard{}) }
 
-// Left reports whether the engine has said that it leaves.
+// Left reports whether the engine has announced that it is leaving.
 func (r *Runner) Left() bool { return r.hasLeft.Load() }
 
-// Close sends what waits to other engines while the engine's box is leaving.
+// Close sets whether the engine's box is leaving. While it is, waiting and new requests are refused so that they go to other engines.
 func (r *Runner) Close(closed bool) { r.post(closing{closed}) }
 
-// Request is what a caller of Acquire wants.
+// Request describes a request for Acquire.
 type Request struct {
 	Ref     resource.Ref
 	Weights string
 	Urgency int
 	StartBy time.Time
-	// Last says that no other engine will be tried after this one.
+	// Last is true if the caller tries no other engine after this engine.
 	Last bool
-	// Prompt, Output, Parts, Accept and Near are as in Ticket.
+	// Prompt, Output, Parts, Accept and Near have the same meaning as in Ticket.
 	Prompt int
 	Output int
 	Parts  []Part
 	Accept time.Duration
 	Near   bool
-	// Pressed counts for engines without their base model, or that name a rate, only.
+	// Pressed is true if none of the engines tried before can start the request in time. It only affects engines that have a rate limit
+	// or lack their base model.
 	Pressed bool
-	// Customer and Rate are as in Ticket.
+	// Customer and Rate have the same meaning as in Ticket.
 	Customer string
 	Rate     *ratelimit.Word
 }
 
 // Grant lets one request run on the engine until it is released.
 type Grant struct {
-	// Engine and Name tell where it runs.
+	// Engine and Name identify the engine on which the request runs.
 	Engine resource.Engine
 	Name   string
-	// Stalled is how long it waited for its adapter.
+	// Stalled is the time that the request waited for the load of its adapter.
 	Stalled time.Duration
 	id      uint64
 	runner  *Runner
 }
 
-// Read says that the first token of the answer has come.
+// Read records that the first token of the answer has arrived.
 func (g *Grant) Read() { g.runner.post(promptRead{g.id}) }
 
-// HearRate takes in what the engine's answer says of its rate.
+// HearRate updates the engine's rate limit, as received in the engine's answer.
 func (g *Grant) HearRate(w ratelimit.Word) { g.runner.HearRate(w) }
 
-// HearLeft takes in that the engine's answer says it leaves.
+// HearLeft records that the engine has announced in its answer that it is leaving.
 func (g *Grant) HearLeft() { g.runner.HearLeft() }
 
-// Left reports whether the engine has said meanwhile that it leaves.
+// Left reports whether the engine has announced in the meantime that it is leaving.
 func (g *Grant) Left() bool { return g.runner.Left() }
 
-// Release ends the request. Call it once.
+// Release ends the request. It must be called exactly once.
 func (g *Grant) Release(end End) { g.runner.post(ended{g.id, end}) }
 
-// Acquire waits until the request may start. The error is a *result.Error that says it did not run.
+// Acquire waits until the request may start. It returns a *result.Error if the request may not start.
 func (r *Runner) Acquire(ctx context.Context, q Request) (*Grant, error) {
 	id := r.nextID.Add(1)
 	reply := make(chan verdict, 1)
 	t := Ticket{
-		ID: id, Ref: q.Ref, Weights: q.Weights, Urgency: q.Urgency, Arrived: clock.Now(), StartBy: q.StartBy, Last: q.Last, Prompt: q.Prompt, Output: q.Output, Parts: q.Parts, Accept: q.Accept, Near: q.Near, Pressed: q.Pressed,
+		ID: id, Ref: q.Ref, Weights: q.Weights, Urgency: q.Urgency, Arrived: clock.Now(), StartBy: q.StartBy, Last: q.Last,
+		Prompt: q.Prompt, Output: q.Output, Parts: q.Parts, Accept: q.Accept, Near: q.Near, Pressed: q.Pressed,
 		Customer: q.Customer, Rate: q.Rate,
 	}
 	select {
 	case r.events <- submitted{t, reply}:
 	case <-r.done:
-		return nil, result.New(result.NotOwner, "the engine is no longer owned here")
+		return nil, result.New(result.NotOwner, "this box no longer owns the engine")
 	default:
-		return nil, result.New(result.QueueFull, "the event ring is full")
+		return nil, result.New(result.QueueFull, "the event buffer of the engine is full")
 	}
 	select {
 	case v := <-reply:
@@ -255,7 +270,7 @@
 		}
 		return &Grant{Engine: r.cfg.Engine, Name: r.cfg.Name, Stalled: v.stalled, id: id, runner: r}, nil
 	case <-r.done:
-		return nil, result.New(result.NotOwner, "the engine is no longer owned here")
+		return nil, result.New(result.NotOwner, "this box no longer owns the engine")
 	case <-ctx.Done():
 		r.post(canceled{id})
 		return nil, result.New(result.CallerGone, "%v", context.Cause(ctx))
@@ -272,7 +287,7 @@
 	}
 }
 
-// Serve runs the loop until ctx ends. A Runner that has ended is not restarted: its Set starts a new one.
+// Serve runs the loop until ctx ends. A Runner that has ended cannot be restarted. Its Set starts a new Runner instead.
 func (r *Runner) Serve(ctx context.Context) error {
 	if r.ended() {
 		return suture.ErrDoNotRestart
@@ -280,13 +295,14 @@
 	end := sync.OnceFunc(func() { close(r.done) })
 	defer end()
 	orders, ctx := errgroup.WithContext(ctx)
-	// Each slot has at most one order under way; with the permits and the poll none ever waits for another.
+	// Each slot has at most one order in flight. The limit also covers the permit requests and the report poll, so that no goroutine
+	// waits for another.
 	orders.SetLimit(2*r.cfg.Engine.Slots + 2*maxAsked + spareOrders)
 	r.orders = orders
 	orders.Go(func() error { return r.poll(ctx) })
 	err := r.loop(ctx)
 	end()
-	// Orders end with ctx and return no errors.
+	// The order goroutines end with ctx and return no errors.
 	_ = orders.Wait()
 	for {
 		select {
@@ -298,7 +314,7 @@
 	}
 }
 
-// abandon gives back what an unread event holds.
+// abandon returns the permit that an unhandled event may hold.
 func abandon(e event) {
 	if given, ok := e.(permitGiven); ok {
 		given.permit(false)
@@ -333,7 +349,8 @@
 	switch e := e.(type) {
 	case submitted:
 		if r.left {
-			// Said for itself: what waits for another owner or engine would look for as long here in vain.
+			// The separate result code keeps the caller from retrying this engine, as it would retry an engine that is temporarily
+			// without an owner or busy. All retries would fail.
 			e.reply <- verdict{err: result.New(result.EndpointLeaving, "%s", r.cfg.Name)}
 			return nil
 		}
@@ -346,7 +363,7 @@
 	case ended:
 		out := r.state.Done(now, e.id, e.end)
 		if e.end == EndNotListening {
-			out = append(out, r.goneNow(now, "a request found nothing listening there")...)
+			out = append(out, r.goneNow(now, "connection refused for a request")...)
 		}
 		return out
 	case rateHeard:
@@ -369,7 +386,7 @@
 	case reported:
 		return r.report(now, e.report)
 	case notListening:
-		return r.goneNow(now, "nothing listens there")
+		return r.goneNow(now, "connection refused for a report")
 	case settled:
 		r.foreign = false
 		return r.state.Settle(now)
@@ -386,7 +403,7 @@
 		r.ordering.Add(-1)
 		r.baseLoading = false
 		if r.baseMissing = e.err != nil; r.baseMissing {
-			// The next report starts it over.
+			// Clearing the incarnation makes the next report start the load again if needed.
 			r.incarnation = ""
 		}
 		return r.close(now)
@@ -395,7 +412,7 @@
 	}
 }
 
-// lone reports whether another box may count the requests of an engine that names a rate, too.
+// lone reports whether another box may also count requests against the engine's rate limit, because this box has no authority now.
 func (r *Runner) lone(now time.Time) bool {
 	if !r.state.rate.Limited() {
 		return false
@@ -424,7 +441,7 @@
 			r.ordering.Add(1)
 			r.orders.Go(func() error { r.unload(ctx, a); return nil })
 		case ReturnPermit:
-			// Giving back may call another box, which the loop does not wait for.
+			// Returning a permit may call another box, and the loop must not wait for that call.
 			permit := r.popPermit()
 			r.orders.Go(func() error { permit(false); return nil })
 		}
--- a/internal/owner/runner_test.go
+++ b/internal/owner/runner_test.go
@@ -19,10 +19,10 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// replacedEngine is an engine that has been replaced by another instance while replaced is set.
+// replacedEngine is a client of an engine whose address belongs to another instance while replaced is set.
 type replacedEngine struct{ replaced atomic.Bool }
 
-// Give implements owner.Engines.
+// Give refuses orders while the engine is replaced.
 func (e *replacedEngine) Give(context.Context, engine.Target, engine.Order) error {
 	if e.replaced.Load() {
 		return &engine.OrderRefusedError{Type: engine.RefusalNotThere}
@@ -30,15 +30,16 @@
 	return nil
 }
 
-// Report implements owner.Engines.
+// Report fails while the engine is replaced.
 func (e *replacedEngine) Report(context.Context, engine.Target) (engine.Report, error) {
 	if e.replaced.Load() {
-		return engine.Report{}, errors.New("another instance")
+		return engine.Report{}, errors.New("report of another instance")
 	}
 	return engine.Report{Incarnation: "e", BaseModels: []string{"base"}}, nil
 }
 
-// TestEngineThatIsNotThere: once it has refused an order as not there, an engine takes nothing in until a report comes.
+// TestEngineThatIsNotThere checks that an engine gets no requests from the time when an order was refused because the engine does not
+// exist until the next report arrives.
 func TestEngineThatIsNotThere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/owner/schedule.go
+++ b/internal/owner/schedule.go
@@ -7,14 +7,15 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// flush starts what can start, refuses what cannot make it, asks for permits that are needed, and returns all actions.
+// flush starts the tickets that can start, refuses the tickets that have not started in time, and requests the needed permits. It
+// returns all pending actions.
 func (s *State) flush(now time.Time) []Action {
 	s.keep(func(t Ticket) bool {
 		switch {
 		case s.fits(t) && s.Holds(t.Ref) && !s.held(now, t):
 			s.start(now, t)
 		case !now.Before(t.StartBy):
-			s.refuse(t, result.New(result.DeadlineUnmet, "waited %s", now.Sub(t.Arrived).Round(time.Millisecond)))
+			s.refuse(t, result.New(result.DeadlineUnmet, "not started after %s", now.Sub(t.Arrived).Round(time.Millisecond)))
 		default:
 			return true
 		}
@@ -26,7 +27,7 @@
 	return out
 }
 
-// held reports whether a ticket waits for urgent work to run beside.
+// held reports whether a ticket of urgency 0 is delayed until urgent tickets run.
 func (s *State) held(now time.Time, t Ticket) bool {
 	return s.cfg.Pack && t.Urgency == 0 && s.urgent == 0 && now.Sub(t.Arrived) < packHold && now.Before(t.StartBy.Add(-packHold))
 }
@@ -45,11 +46,11 @@
 	if t.Urgency > 0 {
 		s.urgent++
 	}
-	// The part of the wait that passed before the adapter was ready is a load stall.
+	// Stalled is the part of the wait before the adapter was loaded.
 	s.emit(Start{Ticket: t, Stalled: stalled})
 }
 
-// askPermits asks once for each missing adapter, and again if it has become more urgent.
+// askPermits requests a permit once for each missing adapter, and again if the adapter has become more urgent.
 func (s *State) askPermits(now time.Time) {
 	if s.stopped || s.blind || len(s.waiting) == 0 || (len(s.slots) >= s.cfg.Slots && s.victim(now) == nil) {
 		return
@@ -67,7 +68,7 @@
 	}
 }
 
-// mostUrgentMissing returns the first waiting ticket whose adapter is neither loaded nor on its way.
+// mostUrgentMissing returns the most urgent waiting ticket whose adapter is missing.
 func (s *State) mostUrgentMissing(now time.Time) (Ticket, bool) {
 	for _, t := range s.waiting {
 		if s.missing(now, t.Ref) {
@@ -77,11 +78,13 @@
 	return Ticket{}, false
 }
 
+// missing reports whether ref is neither loaded nor being loaded and may be loaded now.
 func (s *State) missing(now time.Time, ref resource.Ref) bool {
 	sl := s.slots[ref]
 	return !ref.IsBase() && (sl == nil || sl.phase == doubtful) && !s.failing(now, ref) && !s.onItsWay(ref)
 }
 
+// onItsWay reports whether ref will be loaded when the unload of another adapter ends.
 func (s *State) onItsWay(ref resource.Ref) bool {
 	for _, sl := range s.slots {
 		if sl.next != nil && sl.next.Ref == ref {
--- a/internal/owner/set.go
+++ b/internal/owner/set.go
@@ -19,39 +19,41 @@
 )
 
 const (
-	// defaultMaxQueue bounds the waiting requests of an engine whose base model has no serving configuration.
+	// defaultMaxQueue is the queue limit of an engine whose base model has no serving configuration.
 	defaultMaxQueue = 256
-	// packBelow is the stall weight below which full steps go before the early start of work without urgency.
+	// packBelow is the stall weight below which full engine steps are preferred to an early start of requests of urgency 0.
 	packBelow = 50
 )
 
 // SetConfig configures a Set.
 type SetConfig struct {
-	// Supervisor runs the runners.
+	// Supervisor runs the Runners.
 	Supervisor *suture.Supervisor
-	// Lookup returns what is declared for an engine, if it is.
+	// Lookup returns the declared configuration of an engine, and false if the engine is not declared.
 	Lookup func(name string) (Declared, bool)
 	// Leaving reports whether the box of an engine is leaving.
 	Leaving func(name string) bool
 	Client  Engines
-	// Loads gives permits for adapters, BaseLoads for base models.
-	Loads     loads.Source
+	// Loads grants permits for adapter loads.
+	Loads loads.Source
+	// BaseLoads grants permits for base model loads.
 	BaseLoads loads.Source
-	// PrefillRate is how many prompt tokens an engine reads in a second; zero leaves prompts out of the expected wait.
+	// PrefillRate is the initial estimate of an engine's prefill rate in tokens per second. Zero leaves prompts out of the expected wait.
 	PrefillRate float64
 	Policy      policy.Policy
-	// Authority says whether this box may give an engine orders now.
+	// Authority reports whether this box may send orders to an engine now, and under which epoch.
 	Authority func(engine string, now time.Time) (epoch uint64, ok bool)
-	// Rates is what this box knows of the engines' rates, Notices what else they have said of themselves.
-	Rates   *ratelimit.Book
+	// Rates holds the known rate limits of engines.
+	Rates *ratelimit.Book
+	// Notices holds other notices received from engines.
 	Notices *notice.Board
 	Scope   tally.Scope
 }
 
-// Declared is what operators declare for an engine.
+// Declared is the configuration that operators declare for an engine.
 type Declared struct {
 	Engine resource.Engine
-	// Serving is the serving configuration of its base model, nil if there is none.
+	// Serving is the serving configuration of the engine's base model, or nil if there is none.
 	Serving *resource.Serving
 }
 
@@ -69,33 +71,34 @@
 	return terms{engine: d.Engine, maxQueue: d.Serving.MaxQueue, pack: d.Serving.StallWeight < packBelow}
 }
 
-// owned is an engine that this box owns or has requests in flight on.
+// owned is an engine that this box owns, or owned before and still runs requests on.
 type owned struct {
 	runner *Runner
 	token  suture.ServiceToken
-	// terms are those that the runner was started with.
+	// terms is the configuration with which the runner was started.
 	terms terms
-	// epoch is that of the grant.
+	// epoch is the epoch of the ownership grant.
 	epoch uint64
-	// settled says that the previous owner has nothing in flight any more.
+	// settled is true once the runner may unload adapters taken over from the previous owner.
 	settled bool
-	// closed says that the engine's box is leaving.
+	// closed is true if the engine's box is leaving.
 	closed bool
 }
 
-// Set holds the runners of the engines that this box owns.
+// Set manages the Runners of the engines that this box owns.
 type Set struct {
-	cfg   SetConfig
+	cfg SetConfig
+	// mu guards the fields below.
 	mu    sync.Mutex
 	owned map[string]*owned
-	// draining holds former runners with requests in flight.
+	// draining holds the engines that this box no longer owns but whose Runners still have requests or orders in flight.
 	draining []*owned
 }
 
 // NewSet returns an empty Set.
 func NewSet(cfg SetConfig) *Set { return &Set{cfg: cfg, owned: map[string]*owned{}} }
 
-// Get returns the runner of an owned engine.
+// Get returns the Runner of an owned engine.
 func (s *Set) Get(name string) (*Runner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +109,7 @@
 	return o.runner, true
 }
 
-// Update starts and stops runners so that they match the grants, and stops those to be released.
+// Update starts and stops Runners to match the ownership grants, and stops the Runners of the engines to release.
 func (s *Set) Update(grants []coordinator.Ownership, release []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,7 +133,8 @@
 	s.sweep()
 }
 
-// hold starts the runner of a granted engine, and settles it once its previous owner is done.
+// hold ensures that the Runner of a granted engine runs with the current configuration. It also informs the Runner whether the engine's
+// box is leaving and when the adapters of the previous owner may be unloaded.
 func (s *Set) hold(g coordinator.Ownership) {
 	o, ok := s.owned[g.Engine]
 	if ok && (o.runner.ended() || s.redeclared(g.Engine, o)) {
@@ -152,24 +156,26 @@
 	}
 }
 
-// isSettled reports whether adapters that an engine held when it was taken over may be unloaded. One that ends an adapter's runs
-// before it unloads the adapter needs no word from the previous owner. Giving those runs time first was tried: 8 s without
-// evictions after each takeover cost 0.09 to 0.14 of a site's score, 1.5 s and 3 s gained nothing.
+// isSettled reports whether the adapters that were loaded when the engine was taken over may be unloaded. This is allowed as soon as
+// the previous owner has no requests in flight, and at once on an engine that finishes the runs of an adapter before it unloads the
+// adapter. Delaying the unloads there brings no benefit: 8 s without evictions after each takeover cost 0.09 to 0.14 of a site's
+// score, and 1.5 s and 3 s gained nothing.
 func (s *Set) isSettled(g coordinator.Ownership, o *owned) bool {
 	return o.terms.engine.FinishesFirst || (g.Previous == "" && !s.drains(g.Engine))
 }
 
-// redeclared reports whether what is declared for an engine has changed since its runner started.
+// redeclared reports whether the declared configuration of an engine has changed since its Runner started.
 func (s *Set) redeclared(name string, o *owned) bool {
 	now, ok := s.cfg.Lookup(name)
 	return ok && now.terms() != o.terms
 }
 
-// drains reports whether a former runner of this box has requests in flight on the engine.
+// drains reports whether a former Runner of this box still has requests or orders in flight on the engine.
 func (s *Set) drains(engine string) bool {
 	return slices.ContainsFunc(s.draining, func(o *owned) bool { return o.runner.cfg.Name == engine })
 }
 
+// start starts a Runner for a granted engine. It returns nil if the engine is not declared.
 func (s *Set) start(g coordinator.Ownership) *owned {
 	declared, ok := s.cfg.Lookup(g.Engine)
 	if !ok {
@@ -189,30 +195,32 @@
 	o := &owned{runner: r, epoch: g.Epoch, terms: t}
 	o.token = s.cfg.Supervisor.Add(r)
 	s.owned[cfg.Name] = o
-	klog.InfoS("engine owned", "engine", name, "epoch", g.Epoch, "previous", g.Previous)
+	klog.InfoS("engine ownership acquired", "engine", name, "epoch", g.Epoch, "previous", g.Previous)
 	return o
 }
 
+// lose stops the Runner of an engine that this box no longer owns, or whose Runner must be replaced.
 func (s *Set) lose(name string, o *owned) {
 	o.runner.Stop()
-	klog.InfoS("engine given up", "engine", name, "epoch", o.epoch, "in_flight", o.runner.InFlight())
+	klog.InfoS("engine ownership released", "engine", name, "epoch", o.epoch, "in_flight", o.runner.InFlight())
 	delete(s.owned, name)
 	s.draining = append(s.draining, o)
 }
 
-// sweep ends former runners that have nothing in flight any more.
+// sweep removes the former Runners that have no requests or orders in flight anymore.
 func (s *Set) sweep() {
 	s.draining = slices.DeleteFunc(s.draining, func(o *owned) bool {
 		if o.runner.InFlight() > 0 || (!o.runner.Stopped() && !o.runner.ended()) {
 			return false
 		}
-		// The supervisor no longer having it is as good as removed.
+		// Remove fails only if the supervisor no longer has the Runner.
 		_ = s.cfg.Supervisor.Remove(o.token)
 		return true
 	})
 }
 
-// Released returns the owned engines on which nothing more will start, and Draining those with requests in flight that are not owned.
+// Released returns the owned engines whose Runners have stopped, and the engines that this box no longer owns but that still have
+// requests or orders in flight.
 func (s *Set) Released() (released, draining []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -230,7 +238,7 @@
 	return released, draining
 }
 
-// InFlight returns the started requests on all engines.
+// InFlight returns the number of running requests on all engines.
 func (s *Set) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +252,7 @@
 	return n
 }
 
-// Status returns what the owned engines show.
+// Status returns the status of each owned engine, sorted by engine name.
 func (s *Set) Status() []Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/owner/state.go
+++ b/internal/owner/state.go
@@ -1,5 +1,5 @@
 // Package owner decides for one engine which request starts, which adapter is loaded and which is unloaded.
-// State is the decision and does no I/O; Runner carries it out.
+// State makes the decisions without any I/O. Runner carries them out.
 package owner
 
 import (
@@ -16,7 +16,7 @@
 // Defaults of Config.
 const (
 	defaultHalfLife = 10 * time.Minute
-	// defaultLoadTime is expected of an adapter's load until one has been seen: engines load one in 250 ms.
+	// defaultLoadTime is the expected load time of an adapter until a load has been observed. Engines load an adapter in 250 ms.
 	defaultLoadTime    = 280 * time.Millisecond
 	defaultBackoff     = time.Second
 	maxBackoff         = time.Minute
@@ -24,41 +24,43 @@
 	loadTimeSmoothing  = 0.2
 	maxRememberedRates = 4096
 	packHold           = time.Minute
-	// crowdedShare is the part of a batch that may wait before a ticket on a full engine.
+	// crowdedShare is the divisor of the batch size that gives the number of tickets ahead at which a full engine counts as crowded.
 	crowdedShare = 4
-	// maxAsked bounds the adapters for which permits are asked at once.
+	// maxAsked is the maximum number of pending permit requests.
 	maxAsked = 8
-	// unloadPause is the time from a failed unload to the next. Without it a box that had lost its authority ordered 16,000 a second,
-	// each refused by itself, and had no processor time left to take a configuration in.
+	// unloadPause is the minimum time between a failed unload and the next unload. Without this pause a box that had lost its authority
+	// created 16,000 unload orders per second, refused each order itself, and had no CPU time left to apply a new configuration.
 	unloadPause = 200 * time.Millisecond
-	// doubtTime is how long an order without an answer may still be carried out: engines have been seen to take up to 12 s.
+	// doubtTime is the time in which an engine may still carry out an unanswered order. Engines took up to 12 s.
 	doubtTime = 15 * time.Second
 )
 
 // Config configures a State.
 type Config struct {
-	// Slots is how many adapters the engine holds, Batch how many sequences it runs at once.
+	// Slots is the number of adapters that the engine can hold.
 	Slots int
+	// Batch is the number of sequences that the engine runs concurrently.
 	Batch int
-	// MaxQueue bounds the waiting tickets.
+	// MaxQueue is the maximum number of waiting tickets.
 	MaxQueue int
-	// Pack lets work of no urgency start only beside urgent work, so that the engine's steps are fuller, for at most packHold.
+	// Pack delays tickets of urgency 0 until urgent tickets run, for at most packHold. This fills the engine's steps better.
 	Pack bool
-	// HalfLife is the time in which the weight of past use halves.
+	// HalfLife is the time in which the weight of a past use falls by half.
 	HalfLife time.Duration
-	// KVTokens bounds the tokens of the running tickets; zero sets no bound.
+	// KVTokens is the maximum number of tokens of the running tickets. Zero means no limit.
 	KVTokens int
-	// PrefillRate is how many prompt tokens the engine is taken to read in a second until that has been observed; zero leaves prompts
-	// out of the expected wait.
+	// PrefillRate is the initial estimate of the engine's prefill rate in prompt tokens per second. Observed rates replace it. Zero
+	// leaves prompts out of the expected wait.
 	PrefillRate float64
-	// FinishesFirst says that the engine ends an adapter's runs before it unloads or replaces the adapter, and that a load
-	// replaces the adapter's other versions.
+	// FinishesFirst is true if the engine finishes the runs of an adapter before it unloads or replaces the adapter, and if loading a
+	// version of an adapter replaces its other versions.
 	FinishesFirst bool
-	// AwaitReport withholds loads until Adopt has said what the engine holds.
+	// AwaitReport delays loads until Adopt has been called with the loaded adapters.
 	AwaitReport bool
-	// Policy says which mechanisms are on.
+	// Policy selects the enabled mechanisms.
 	Policy policy.Policy
-	// Worth rates an idle adapter in place of its decayed rate of use; the least is unloaded first. Nil except in comparisons.
+	// Worth returns the value of keeping an idle adapter loaded. The adapter with the lowest value is unloaded first. If Worth is nil,
+	// the use rate of the adapter is the value. Only benchmarks of eviction policies set it.
 	Worth func(ref resource.Ref, now time.Time) float64
 }
 
@@ -68,35 +70,35 @@
 	loading phase = iota
 	loaded
 	unloading
-	// doubtful: a load ended without an answer; the engine may hold the adapter, now or in a while.
+	// doubtful means that a load got no answer. The engine may have loaded the adapter or may still load it.
 	doubtful
 )
 
-// slot is an adapter that takes a slot of the engine.
+// slot is an adapter that occupies one of the engine's slots.
 type slot struct {
 	ref   resource.Ref
 	phase phase
-	// doubtUntil is how long a load without an answer may still be carried out.
+	// doubtUntil is the time until which the engine may still carry out an unanswered load.
 	doubtUntil time.Time
-	// next is loaded once this one is unloaded.
+	// next is the load to start once this adapter is unloaded.
 	next *Load
-	// foreign says that an earlier owner may have requests in flight on it.
+	// foreign is true if the previous owner may have requests in flight on the adapter.
 	foreign bool
-	// loadAt and readyAt are when the load began and ended; zero for an adopted adapter.
+	// loadAt and readyAt are the start and end of the load. Both are zero for an adopted adapter.
 	loadAt  time.Time
 	readyAt time.Time
 }
 
 // started is a running ticket.
 type started struct {
-	// slot is nil for the base model.
+	// slot is nil if the ticket runs on the base model.
 	slot    *slot
 	urgency int
 	tokens  int
 	at      time.Time
 }
 
-// State is the decision state of one engine. One goroutine uses it.
+// State is the decision state of one engine. It is not safe for concurrent use.
 type State struct {
 	cfg     Config
 	slots   map[resource.Ref]*slot
@@ -104,63 +106,71 @@
 	// wanted counts the waiting tickets of each adapter.
 	wanted  map[resource.Ref]int
 	running map[uint64]started
-	// lingers holds until when a run that ended without its whole answer may go on, by adapter like uses.
+	// lingers holds, for each adapter, the time until which the engine may still execute a run whose answer broke off.
 	lingers map[resource.Ref]time.Time
-	// uses counts the running tickets of each adapter, also those that began before it was loaded anew: it may not be unloaded under
-	// them whatever became of the slot that they began on.
+	// uses counts the running tickets of each adapter. An adapter with running tickets may not be unloaded. The count is kept apart
+	// from the slot so that it includes the tickets that started before the adapter was loaded again into a new slot.
 	uses map[resource.Ref]int
-	// urgent counts the running tickets with an urgency.
+	// urgent counts the running tickets with an urgency above 0.
 	urgent   int
 	rates    map[resource.Ref]rate
 	failures map[resource.Ref]failure
-	// loadTime is the mean time of a load as of loadSeen, when the last one ended.
+	// loadTime is the mean load time at the time loadSeen.
 	loadTime time.Duration
+	// loadSeen is when the last observed load ended.
 	loadSeen time.Time
 	// runTime is the mean time from the start of a run to its end.
 	runTime time.Duration
-	// asked holds the urgency with which a permit was asked for and not yet answered.
-	asked   map[resource.Ref]int
+	// asked holds the urgency of each pending permit request.
+	asked map[resource.Ref]int
+	// stopped is true if the engine is being handed over.
 	stopped bool
-	// closed says that the engine's box is leaving.
+	// closed is true while the engine accepts no tickets, for example because its box is leaving.
 	closed bool
-	// blind says that the engine's holdings are not known yet.
+	// blind is true until the first report shows the loaded adapters.
 	blind bool
-	// tokens counts those of the running tickets.
+	// tokens is the total number of tokens of the running tickets.
 	tokens  int
 	reading *reading
 	lately  lately
-	// rate keeps to the requests a second that the engine names. All that is sent to it asks its owner first, so that keeping to it takes no message
-	// more, and a box needs not know the rate to be held to it.
+	// rate enforces the engine's rate limit. Each request to the engine needs a grant from its owner anyway, so that enforcing the
+	// limit here needs no extra messages, and the limit also applies to boxes that do not know it.
 	rate ratelimit.Limiter
-	// unloadFrom is when the next unload may be ordered after one has failed.
+	// unloadFrom is the earliest time of the next unload after a failed unload.
 	unloadFrom time.Time
-	out        []Action
+	// out holds the actions to return to the caller.
+	out []Action
 }
 
+// rate is a decaying count of uses as of the time at.
 type rate struct {
 	value float64
 	at    time.Time
 }
 
+// failure counts consecutive failed loads of an adapter, which must not be loaded again before until.
 type failure struct {
 	count int
 	until time.Time
 }
 
-// New returns a State with an empty engine.
+// New returns the State of an engine without loaded adapters.
 func New(cfg Config) *State {
 	if cfg.HalfLife <= 0 {
 		cfg.HalfLife = defaultHalfLife
 	}
 	return &State{
-		cfg: cfg, slots: map[resource.Ref]*slot{}, running: map[uint64]started{}, uses: map[resource.Ref]int{}, lingers: map[resource.Ref]time.Time{},
-		rates: map[resource.Ref]rate{}, failures: map[resource.Ref]failure{}, asked: map[resource.Ref]int{}, wanted: map[resource.Ref]int{}, loadTime: defaultLoadTime, runTime: defaultRunTime,
+		cfg: cfg, slots: map[resource.Ref]*slot{}, running: map[uint64]started{},
+		uses: map[resource.Ref]int{}, lingers: map[resource.Ref]time.Time{},
+		rates: map[resource.Ref]rate{}, failures: map[resource.Ref]failure{},
+		asked: map[resource.Ref]int{}, wanted: map[resource.Ref]int{},
+		loadTime: defaultLoadTime, runTime: defaultRunTime,
 		blind: cfg.AwaitReport, lately: lately{most: latelyPerSlot * cfg.Slots},
 		reading: newReading(cfg.PrefillRate, cfg.KVTokens, cfg.Policy),
 	}
 }
 
-// Adopt takes over an engine that already holds refs. While foreign is true none of them is unloaded.
+// Adopt records that the engine has already loaded refs. If foreign is true, they are not unloaded before Settle is called.
 func (s *State) Adopt(refs []resource.Ref, foreign bool) {
 	s.blind = false
 	for _, r := range refs {
@@ -170,7 +180,7 @@
 	}
 }
 
-// Settle says that the earlier owner has nothing in flight any more.
+// Settle allows the unloading of foreign adapters, because the previous owner has no requests in flight anymore.
 func (s *State) Settle(now time.Time) []Action {
 	for _, sl := range s.slots {
 		sl.foreign = false
@@ -178,7 +188,7 @@
 	return s.flush(now)
 }
 
-// Restarted says that the engine came up empty: what was loaded is gone.
+// Restarted removes all loaded adapters, because the engine has restarted and is empty.
 func (s *State) Restarted(now time.Time) []Action {
 	for ref, sl := range s.slots {
 		if sl.phase == loaded {
@@ -190,16 +200,16 @@
 	return s.flush(now)
 }
 
-// Read says that the first token of a started ticket has come: the engine has read its prompt.
+// Read records that the first token of a running ticket has arrived, which means that the engine has processed its prompt.
 func (s *State) Read(now time.Time, id uint64) { s.reading.read(now, id) }
 
-// Knows reports whether ref takes a slot or is about to.
+// Knows reports whether ref occupies a slot or will be loaded when an unload ends.
 func (s *State) Knows(ref resource.Ref) bool {
 	sl := s.slots[ref]
 	return (sl != nil && sl.phase != doubtful) || s.onItsWay(ref)
 }
 
-// Held returns the loaded adapters.
+// Held returns the loaded adapters in random order.
 func (s *State) Held() []resource.Ref {
 	var refs []resource.Ref
 	for ref, sl := range s.slots {
@@ -210,7 +220,8 @@
 	return refs
 }
 
-// Lost says that the engine does not hold refs; those in use are left to the requests' own ends.
+// Lost removes adapters that the engine no longer has. Adapters in use are kept, since the results of their runs show whether they are
+// still loaded.
 func (s *State) Lost(now time.Time, refs []resource.Ref) []Action {
 	for _, ref := range refs {
 		if sl := s.slots[ref]; sl != nil && sl.phase == loaded && s.uses[ref] == 0 {
@@ -220,7 +231,7 @@
 	return s.flush(now)
 }
 
-// Cancel ends a ticket whose caller has gone before it was told that it may start.
+// Cancel ends a ticket whose caller has left before it received the decision on the ticket.
 func (s *State) Cancel(now time.Time, id uint64) []Action {
 	s.keep(func(t Ticket) bool {
 		if t.ID != id {
@@ -232,22 +243,22 @@
 	return s.Done(now, id, EndWhole)
 }
 
-// End says how a started ticket ended.
+// End is the way in which a started ticket ended.
 type End int
 
 // The ends of a started ticket.
 const (
-	// EndWhole: the engine is done with the request.
+	// EndWhole means that the engine has finished the request.
 	EndWhole End = iota
-	// EndBroken: the answer broke off or the caller went; the engine may still run the request for a moment.
+	// EndBroken means that the answer broke off or the caller left. The engine may continue to run the request for a short time.
 	EndBroken
-	// EndNotLoaded: the engine said that it does not hold the adapter.
+	// EndNotLoaded means that the engine reported that the adapter is not loaded.
 	EndNotLoaded
-	// EndNotListening: nothing listens at the engine's address, so the request never reached it.
+	// EndNotListening means that no process listens at the engine's address, so the request did not reach the engine.
 	EndNotListening
 )
 
-// Done ends a started ticket.
+// Done ends a running ticket.
 func (s *State) Done(now time.Time, id uint64, end End) []Action {
 	st, ok := s.running[id]
 	if !ok {
@@ -281,7 +292,7 @@
 	return s.flush(now)
 }
 
-// Stop refuses all that waits and takes nothing more, before the engine is handed over.
+// Stop refuses the waiting tickets and all further tickets, because the engine is being handed over. Running tickets continue.
 func (s *State) Stop(now time.Time) []Action {
 	s.stopped = true
 	s.keep(func(t Ticket) bool {
@@ -291,7 +302,8 @@
 	return s.flush(now)
 }
 
-// Close sends all that waits to other engines and takes nothing more while closed is true; what has started goes on.
+// Close sets whether the engine accepts tickets. While closed is true, waiting and new tickets are refused so that they go to other
+// engines. Running tickets continue.
 func (s *State) Close(now time.Time, closed bool) []Action {
 	s.closed = closed
 	if closed {
@@ -303,20 +315,20 @@
 	return s.flush(now)
 }
 
-// Tick refuses what can no longer start in time.
+// Tick applies the passage of time. In particular it refuses the tickets that can no longer start in time.
 func (s *State) Tick(now time.Time) []Action {
 	s.dropDoubts(now)
 	maps.DeleteFunc(s.lingers, func(_ resource.Ref, until time.Time) bool { return !now.Before(until) })
 	return s.flush(now)
 }
 
-// InFlight returns how many started tickets have not ended.
+// InFlight returns the number of running tickets.
 func (s *State) InFlight() int { return len(s.running) }
 
-// Waiting returns how many tickets wait.
+// Waiting returns the number of waiting tickets.
 func (s *State) Waiting() int { return len(s.waiting) }
 
-// Holds reports whether ref is loaded.
+// Holds reports whether ref is loaded. The base model counts as loaded once the loaded adapters are known.
 func (s *State) Holds(ref resource.Ref) bool {
 	if ref.IsBase() {
 		return !s.blind
@@ -325,7 +337,7 @@
 	return sl != nil && sl.phase == loaded
 }
 
-// LoadedNames returns the loaded adapters in order.
+// LoadedNames returns the names of the loaded adapters in sorted order.
 func (s *State) LoadedNames() []string {
 	names := make([]string, 0, len(s.slots))
 	for _, ref := range s.Held() {
--- a/internal/owner/state_test.go
+++ b/internal/owner/state_test.go
@@ -15,6 +15,7 @@
 
 func ref(i int) resource.Ref { return resource.Ref{Adapter: fmt.Sprintf("a%d", i), Version: "1"} }
 
+// TestRefusals checks the result code for each reason to refuse a ticket.
 func TestRefusals(t *testing.T) {
 	now := time.Unix(1000, 0)
 	later := now.Add(time.Minute)
@@ -23,10 +24,10 @@
 		setUp func(*owner.State) []owner.Action
 		want  result.Code
 	}{
-		{"past its start", func(s *owner.State) []owner.Action {
+		{"latest start has passed", func(s *owner.State) []owner.Action {
 			return s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: now})
 		}, result.DeadlineUnmet},
-		{"handed over", func(s *owner.State) []owner.Action {
+		{"engine is being handed over", func(s *owner.State) []owner.Action {
 			s.Stop(now)
 			return s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: later})
 		}, result.NotOwner},
@@ -62,7 +63,7 @@
 	}
 }
 
-// TestUrgentGoesFirst lets an urgent ticket pass night work in a full queue and in the order of starts.
+// TestUrgentGoesFirst checks that an urgent ticket displaces a ticket of urgency 0 from a full queue and starts before the others.
 func TestUrgentGoesFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -84,13 +85,14 @@
 	c.Check(started.Ticket.ID, qt.Equals, uint64(4))
 }
 
-// discovered returns a state as a discovered engine's owner has it, with nothing loaded.
+// discovered returns the state of a discovered engine that has reported no loaded adapters.
 func discovered(slots int) *owner.State {
 	s := owner.New(owner.Config{Slots: slots, Batch: 4, MaxQueue: 16, FinishesFirst: true, AwaitReport: true, PrefillRate: 1000, KVTokens: 1000})
 	s.Adopt(nil, false)
 	return s
 }
 
+// actionsOf returns the actions of type T.
 func actionsOf[T owner.Action](actions []owner.Action) []T {
 	var out []T
 	for _, a := range actions {
--- a/internal/owner/uses_test.go
+++ b/internal/owner/uses_test.go
@@ -10,24 +10,27 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestRunsKeepAnAdapterThatWasLoadedAnew: an engine says of one request that it does not hold the adapter, while another still runs on it;
-// the adapter is loaded anew. The run from before used to be forgotten with the slot that it had begun on, and the adapter was unloaded
-// under it. Drawn once by TestStateAlwaysHolds.
+// TestRunsKeepAnAdapterThatWasLoadedAnew checks that an adapter is not unloaded while a run that started before a reload is still in
+// progress. In the failure, the engine reported for one request that the adapter was not loaded, while another request still ran on it.
+// The adapter was loaded again. The older run was only counted in the removed slot, so the adapter was unloaded during that run.
+// TestStateAlwaysHolds found this failure.
 func TestRunsKeepAnAdapterThatWasLoadedAnew(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// before says that the other run ends before the adapter is loaded anew, end how it ends.
+		// before is true if the older run ends before the adapter is loaded again.
 		before bool
-		end    owner.End
-		// waited is how long after that the adapter is to make way, unloads how often it does.
-		waited  time.Duration
+		// end is the way in which the older run ends.
+		end owner.End
+		// waited is the time from the end of the older run to the permit for another adapter.
+		waited time.Duration
+		// unloads is the number of unloads that follow from the permit.
 		unloads int
 	}{
-		{"it ends whole", false, owner.EndWhole, 0, 1},
-		{"it breaks off and may go on", false, owner.EndBroken, 0, 0},
-		{"it broke off a while ago", false, owner.EndBroken, time.Minute, 1},
-		{"it breaks off before the load and may go on", true, owner.EndBroken, 0, 0},
-		{"it broke off before the load, a while ago", true, owner.EndBroken, time.Minute, 1},
+		{"run finishes", false, owner.EndWhole, 0, 1},
+		{"run breaks off and may continue", false, owner.EndBroken, 0, 0},
+		{"run broke off a minute ago", false, owner.EndBroken, time.Minute, 1},
+		{"run breaks off before the load and may continue", true, owner.EndBroken, 0, 0},
+		{"run broke off before the load a minute ago", true, owner.EndBroken, time.Minute, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -50,7 +53,7 @@
 			s.Done(now, 3, owner.EndWhole)
 			s.Submit(now, ticket(4, ref(2)))
 			if !tt.before {
-				c.Assert(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, 0, qt.Commentf("one still runs"))
+				c.Assert(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, 0, qt.Commentf("the older run is still in progress"))
 				s.Done(now, 2, tt.end)
 			}
 			now = now.Add(tt.waited)
--- a/internal/owner/wait.go
+++ b/internal/owner/wait.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// defaultRunTime is expected of a run until some have ended: answers of about a hundred tokens at some 10 ms each.
+	// defaultRunTime is the expected run time until runs have ended: an answer of about a hundred tokens at about 10 ms per token.
 	defaultRunTime = time.Second
-	// runTimeSmoothing is the weight of the newest run in the mean.
+	// runTimeSmoothing is the weight of the newest run in the mean run time.
 	runTimeSmoothing = 0.05
 )
 
-// turnWait returns how long a ticket waits for room in the batch and the cache behind those ahead of it: running requests end one
-// after the other, on average that many in the time of one run.
+// turnWait returns the expected wait for room in the batch and in the KV cache. The estimate assumes that the running tickets end one
+// after another at even intervals, and that all of them end within the mean run time.
 func (s *State) turnWait(t Ticket, ahead, tokensAhead int) time.Duration {
 	before := len(s.running) + ahead
 	turns := max(0, before+1-s.cfg.Batch)
@@ -27,11 +27,13 @@
 	return s.runTime * time.Duration(turns) / time.Duration(max(1, min(before, s.cfg.Batch)))
 }
 
+// fitsCache reports whether the KV cache has room for a total number of tokens.
 func (s *State) fitsCache(tokens int) bool {
 	return s.cfg.KVTokens == 0 || tokens <= s.cfg.KVTokens
 }
 
-// fits reports whether the engine has room to start a ticket. A ticket larger than the whole cache is left to the engine to refuse.
+// fits reports whether the engine has room to start a ticket. A ticket that is larger than the whole KV cache may start on an idle
+// engine, which then refuses the request itself.
 func (s *State) fits(t Ticket) bool {
 	if len(s.running) >= s.cfg.Batch {
 		return false
@@ -39,7 +41,7 @@
 	return s.tokens == 0 || s.fitsCache(s.tokens+t.Prompt+t.Output)
 }
 
-// expectedWait returns how long a ticket would wait for its first token, that is until the engine has read its prompt.
+// expectedWait returns the expected time until the first token of a ticket, which is when the engine has processed its prompt.
 func (s *State) expectedWait(now time.Time, t Ticket) time.Duration {
 	ahead, prompts, tokens := 0, 0, 0
 	for _, w := range s.waiting {
@@ -54,7 +56,7 @@
 	return begun + s.turnWait(t, ahead, tokens) + s.reading.time(prompts+s.reading.tokens(t))
 }
 
-// loadWait returns how long the adapter of a ticket takes to be there.
+// loadWait returns the expected time until the adapter of a ticket is loaded.
 func (s *State) loadWait(now time.Time, t Ticket) time.Duration {
 	if s.Holds(t.Ref) {
 		return 0
@@ -69,8 +71,8 @@
 	return s.slotWait(now, t) + expected
 }
 
-// slotWait returns how long a ticket waits until a slot is free for its adapter: those in use become free one after the other, on
-// average all of them in the time of one run, and missing adapters of tickets ahead take the first.
+// slotWait returns the expected time until a slot is free for the adapter of a ticket. The estimate assumes that the slots in use become
+// free one after another at even intervals, all of them within the mean run time. Missing adapters of tickets ahead get slots first.
 func (s *State) slotWait(now time.Time, t Ticket) time.Duration {
 	if !s.cfg.Policy.On(policy.SlotWait) {
 		return 0
@@ -98,8 +100,8 @@
 	return s.runTime * time.Duration(max(0, needed-free)) / time.Duration(max(1, inUse))
 }
 
-// expectedLoadTime returns the time that loads have taken, fading towards the usual one: an engine that was slow once would
-// otherwise get no load that could show that it is slow no longer.
+// expectedLoadTime returns the mean observed load time, which decays towards defaultLoadTime. Without the decay, an engine with a few
+// slow loads would get no more loads, and its estimate could never improve.
 func (s *State) expectedLoadTime(now time.Time) time.Duration {
 	if !s.cfg.Policy.On(policy.LoadTime) {
 		return defaultLoadTime
@@ -109,32 +111,36 @@
 }
 
 const (
-	// loadTimeHalfLife is the time in which what slow loads have taught fades by half: bursts of loads last a few seconds.
+	// loadTimeHalfLife is the time in which the difference between the mean load time and the default falls by half. Bursts of loads last
+	// a few seconds.
 	loadTimeHalfLife = 2 * time.Second
-	// latelyFaster is how much faster an engine loads an adapter that it held lately.
+	// latelyFaster is the factor by which an engine loads a recently unloaded adapter faster.
 	latelyFaster = 10
-	// latelyPerSlot is how many adapters an engine is taken to have at hand for each slot.
+	// latelyPerSlot is the number of recently unloaded adapters per slot that the engine is assumed to load faster.
 	latelyPerSlot = 5
 )
 
-// tooSlow reports whether a ticket had better go on to its next engine.
+// tooSlow reports whether a ticket must be refused because it would wait longer than it accepts or because it does not accept a load
+// from the weight store.
 func (s *State) tooSlow(now time.Time, t Ticket) bool {
 	return t.Accept > 0 && ((t.Near && !s.near(t.Ref)) || s.expectedWait(now, t) > t.Accept)
 }
 
-// atHand reports whether the engine held an adapter lately, so that it loads fast.
+// atHand reports whether the engine unloaded the adapter recently, so that it can load the adapter quickly.
 func (s *State) atHand(ref resource.Ref) bool {
 	return s.cfg.Policy.On(policy.AtHand) && s.lately.has(ref)
 }
 
-// near reports whether an adapter is on the engine, on its way there or at hand, so that the weight store need not bring it.
+// near reports whether a ticket for ref needs no further load from the weight store. This is so if the adapter is loaded, is being loaded,
+// is needed by a waiting ticket, or was unloaded recently.
 func (s *State) near(ref resource.Ref) bool {
 	return s.Holds(ref) || s.slots[ref] != nil || s.wanted[ref] > 0 || s.atHand(ref)
 }
 
-// sendOn sends a ticket on and tells, if it named a wait, what was expected, so that the asker can come back to the shortest.
+// sendOn refuses a ticket so that the caller tries its next engine. If the ticket has a longest accepted wait, the refusal contains the
+// expected wait, so that the caller can return to the engine with the shortest wait.
 func (s *State) sendOn(now time.Time, t Ticket) {
-	err := result.New(result.TryNext, "another engine can start it sooner")
+	err := result.New(result.TryNext, "another engine can start the request sooner")
 	if t.Accept > 0 {
 		if s.near(t.Ref) {
 			err.Code = result.Crowded
--- a/internal/owner/wait_test.go
+++ b/internal/owner/wait_test.go
@@ -12,7 +12,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// TestExpectedWait sends a ticket on with the wait for its first token that it would have here.
+// TestExpectedWait checks that a ticket with a longer expected wait than it accepts is refused, and that the refusal contains the
+// expected wait for the first token.
 func TestExpectedWait(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ask := func(prompt int, accept time.Duration) owner.Ticket {
@@ -25,10 +26,10 @@
 		want time.Duration
 	}{
 		{"free", 0, ask(100, 100*time.Millisecond), 0},
-		{"its own prompt takes longer than is accepted", 0, ask(101, 100*time.Millisecond), 101 * time.Millisecond},
-		{"a prompt of 200 ms ahead", 200, ask(100, 299*time.Millisecond), 300 * time.Millisecond},
-		{"as long as is accepted", 200, ask(100, 300*time.Millisecond), 0},
-		{"the cache is full until the one run ends", 950, ask(100, 100*time.Millisecond), (950 + 1000 + 100) * time.Millisecond},
+		{"prompt takes longer than the accepted wait", 0, ask(101, 100*time.Millisecond), 101 * time.Millisecond},
+		{"prompt of 200 ms ahead", 200, ask(100, 299*time.Millisecond), 300 * time.Millisecond},
+		{"expected wait equals accepted wait", 200, ask(100, 300*time.Millisecond), 0},
+		{"cache is full until the running ticket ends", 950, ask(100, 100*time.Millisecond), (950 + 1000 + 100) * time.Millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -50,7 +51,7 @@
 	}
 }
 
-// TestExpectedWaitCountsTheQueue fills a batch: each ticket that waits adds the time in which one of the runs ends, as runs have lasted.
+// TestExpectedWaitCountsTheQueue checks that with a full batch each waiting ticket adds the average time between the ends of two runs.
 func TestExpectedWaitCountsTheQueue(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -74,13 +75,14 @@
 		refused := actionsOf[owner.Refuse](submit(1000, time.Millisecond))
 		c.Assert(refused, qt.HasLen, 1)
 		want := time.Duration(waiting+1) * 100 * time.Millisecond
-		c.Check((refused[0].Err.RetryAfter-want).Abs() < 2*time.Millisecond, qt.IsTrue, qt.Commentf("%d waiting: %v", waiting, refused[0].Err.RetryAfter))
+		c.Check((refused[0].Err.RetryAfter-want).Abs() < 2*time.Millisecond, qt.IsTrue, qt.Commentf("%d waiting: expected wait %v", waiting, refused[0].Err.RetryAfter))
 		id++
 		submit(id, 0)
 	}
 }
 
-// TestExpectedWaitCountsThoseWhoWaitForALoad: tickets that wait for the same adapter fill the batch as soon as it is there.
+// TestExpectedWaitCountsThoseWhoWaitForALoad checks that tickets waiting for the load of the same adapter count towards the batch, which
+// they fill as soon as the adapter is loaded.
 func TestExpectedWaitCountsThoseWhoWaitForALoad(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -95,7 +97,7 @@
 	c.Check(refused, qt.HasLen, 1)
 }
 
-// TestSlowLoadsAreForgotten: what slow loads have taught fades, so that the engine gets loads again.
+// TestSlowLoadsAreForgotten checks that the expected load time decays after slow loads, so that the engine gets loads again.
 func TestSlowLoadsAreForgotten(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -113,12 +115,13 @@
 		s.Loaded(now, ref(i), nil)
 	}
 	slow := expected()
-	c.Check(slow > 2*usual, qt.IsTrue, qt.Commentf("%v, usually %v", slow, usual))
+	c.Check(slow > 2*usual, qt.IsTrue, qt.Commentf("expected wait %v, usually %v", slow, usual))
 	now = now.Add(10 * time.Second)
-	c.Check(expected() < usual+usual/5, qt.IsTrue, qt.Commentf("%v, usually %v", expected(), usual))
+	c.Check(expected() < usual+usual/5, qt.IsTrue, qt.Commentf("expected wait %v, usually %v", expected(), usual))
 }
 
-// TestExpectedWaitForgetsPromptsOfEndedRuns: runs that end before their prompts were thought to be read leave no wait behind.
+// TestExpectedWaitForgetsPromptsOfEndedRuns checks that the prompts of ended runs do not add to the expected wait, even if the runs end
+// sooner than the estimated prefill time.
 func TestExpectedWaitForgetsPromptsOfEndedRuns(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -132,8 +135,8 @@
 	c.Check(actionsOf[owner.Start](actions), qt.HasLen, 1)
 }
 
-// TestExpectedWaitCountsSlotsInUse: an adapter that is missing waits until one that is in use makes way, behind those of tickets
-// ahead, on engines of any number of slots.
+// TestExpectedWaitCountsSlotsInUse checks that the wait for a missing adapter includes the time until a slot in use becomes free, after
+// the slots needed by tickets ahead.
 func TestExpectedWaitCountsSlotsInUse(t *testing.T) {
 	const loadTime = 280 * time.Millisecond
 	for _, slots := range []int{2, 8} {
