--- a/internal/owner/action.go
+++ b/internal/owner/action.go
@@ -25,22 +25,22 @@
 	Output int
 	// Parts lists the shareable parts of the prompt in order.
 	Parts []Part
-	// Accept is the longest acceptable expected wait for the first token. If the expected wait is longer, the ticket is refused so
+	// MaxWait is the longest acceptable expected wait for the first token. If the expected wait is longer, the ticket is refused so
 	// that the caller tries its next engine. Zero accepts any wait.
-	Accept time.Duration
-	// Near requests a refusal if the adapter would have to be loaded from the weight store.
-	Near bool
-	// Pressed is true if none of the engines tried before can start the request in time.
-	Pressed bool
+	MaxWait time.Duration
+	// LocalOnly requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive MaxWait.
+	LocalOnly bool
+	// OthersTooSlow is true if none of the engines tried before can start the request in time.
+	OthersTooSlow bool
 	// Customer sent the request.
 	Customer string
 	// Rate is the engine's rate limit as the submitting box knows it.
 	Rate *ratelimit.Word
-	// Lone is true if this box has no authority over the engine now, so that another box may also count requests against the
+	// SharedRate is true if this box has no authority over the engine now, so that another box may also count requests against the
 	// engine's rate limit.
-	Lone bool
-	// rated is true if the ticket has been counted against the engine's rate limit.
-	rated bool
+	SharedRate bool
+	// countedInRate is true if the ticket has been counted against the engine's rate limit.
+	countedInRate bool
 }
 
 // Action is an instruction that the caller of State must carry out. Only this package implements it.
--- a/internal/owner/event.go
+++ b/internal/owner/event.go
@@ -10,8 +10,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// verdict is the decision on a submitted ticket. A nil err means that the ticket may start.
-type verdict struct {
+// decision is the reply to a submitted ticket. A nil err means that the ticket may start.
+type decision struct {
 	stalled time.Duration
 	err     *result.Error
 }
@@ -19,23 +19,23 @@
 // event is an input of the Runner's loop.
 type event interface{ event() }
 
-type submitted struct {
+type ticketSubmitted struct {
 	ticket Ticket
-	reply  chan verdict
+	reply  chan decision
 }
 
-type canceled struct{ id uint64 }
+type ticketCanceled struct{ id uint64 }
 
-type ended struct {
+type ticketEnded struct {
 	id  uint64
 	end End
 }
 
-type promptRead struct{ id uint64 }
+type firstTokenReceived struct{ id uint64 }
 
-type rateHeard struct{ word ratelimit.Word }
+type rateReceived struct{ rate ratelimit.Word }
 
-type permitGiven struct {
+type permitGranted struct {
 	ref    resource.Ref
 	permit loads.Permit
 }
@@ -54,34 +54,36 @@
 
 type baseLoadEnded struct{ err error }
 
-type reported struct{ report engine.Report }
-
-// notListening is posted when a report request fails because no process listens at the engine's address.
-type notListening struct{}
-
-// settled is posted when the previous owner has no requests in flight anymore.
-type settled struct{}
-
-type stopping struct{}
-
-type closing struct{ closed bool }
-
-// leftHeard is posted when the engine has announced that it is leaving.
-type leftHeard struct{}
-
-func (submitted) event()     {}
-func (canceled) event()      {}
-func (ended) event()         {}
-func (promptRead) event()    {}
-func (rateHeard) event()     {}
-func (permitGiven) event()   {}
-func (permitDenied) event()  {}
-func (loadEnded) event()     {}
-func (unloadEnded) event()   {}
-func (baseLoadEnded) event() {}
-func (reported) event()      {}
-func (notListening) event()  {}
-func (settled) event()       {}
-func (stopping) event()      {}
-func (closing) event()       {}
-func (leftHeard) event()     {}
+type reportReceived struct{ report engine.Report }
+
+// connectionRefused is posted when a report request fails because no process listens at the engine's address.
+type connectionRefused struct{}
+
+// takeoverFinished is posted when the previous owner has no requests in flight anymore.
+type takeoverFinished struct{}
+
+// stopRequested is posted when the engine is being handed over.
+type stopRequested struct{}
+
+// boxLeavingChanged is posted when the engine's box starts or stops leaving.
+type boxLeavingChanged struct{ leaving bool }
+
+// leaveNoticeReceived is posted when the engine has announced that it is leaving.
+type leaveNoticeReceived struct{}
+
+func (ticketSubmitted) event()     {}
+func (ticketCanceled) event()      {}
+func (ticketEnded) event()         {}
+func (firstTokenReceived) event()  {}
+func (rateReceived) event()        {}
+func (permitGranted) event()       {}
+func (permitDenied) event()        {}
+func (loadEnded) event()           {}
+func (unloadEnded) event()         {}
+func (baseLoadEnded) event()       {}
+func (reportReceived) event()      {}
+func (connectionRefused) event()   {}
+func (takeoverFinished) event()    {}
+func (stopRequested) event()       {}
+func (boxLeavingChanged) event()   {}
+func (leaveNoticeReceived) event() {}
--- a/internal/owner/loading.go
+++ b/internal/owner/loading.go
@@ -10,25 +10,25 @@
 
 // Granted handles the permit requested for ref. The permit is used for the most urgent load, which may be for another adapter.
 func (s *State) Granted(now time.Time, ref resource.Ref) []Action {
-	delete(s.asked, ref)
+	delete(s.permitRequests, ref)
 	t, ok := s.mostUrgentMissing(now)
 	if !ok || s.stopped {
 		s.emit(ReturnPermit{})
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	load := Load{Ref: t.Ref, Weights: t.Weights}
 	if len(s.slots) < s.cfg.Slots {
-		s.beginLoad(now, load)
-		return s.flush(now)
+		s.startLoad(now, load)
+		return s.schedule(now)
 	}
 	victim := s.victimFor(now, t.Ref)
 	if victim == nil {
 		s.emit(ReturnPermit{})
-		return s.flush(now)
+		return s.schedule(now)
 	}
-	victim.phase, victim.next = unloading, &load
+	victim.phase, victim.nextLoad = unloading, &load
 	s.emit(Unload{Ref: victim.ref})
-	return s.flush(now)
+	return s.schedule(now)
 }
 
 // victimFor returns the adapter to unload before ref is loaded. It prefers an evictable other version of the same adapter.
@@ -36,16 +36,16 @@
 	if now.Before(s.unloadFrom) {
 		return nil
 	}
-	for _, sl := range s.formerVersions(ref) {
-		if s.evictable(now, sl) {
+	for _, sl := range s.replacedVersions(ref) {
+		if s.isEvictable(now, sl) {
 			return sl
 		}
 	}
 	return s.victim(now)
 }
 
-// formerVersions returns the loaded versions of an adapter that the engine replaces when it loads ref.
-func (s *State) formerVersions(ref resource.Ref) []*slot {
+// replacedVersions returns the loaded versions of an adapter that the engine replaces when it loads ref.
+func (s *State) replacedVersions(ref resource.Ref) []*slot {
 	if !s.cfg.FinishesFirst {
 		return nil
 	}
@@ -58,53 +58,53 @@
 	return former
 }
 
-// Denied handles the refusal of the permit requested for ref. A new permit may be requested at once.
-func (s *State) Denied(now time.Time, ref resource.Ref) []Action {
-	delete(s.asked, ref)
-	return s.flush(now)
+// PermitDenied handles the refusal of the permit requested for ref. A new permit may be requested at once.
+func (s *State) PermitDenied(now time.Time, ref resource.Ref) []Action {
+	delete(s.permitRequests, ref)
+	return s.schedule(now)
 }
 
-func (s *State) beginLoad(now time.Time, l Load) {
-	s.slots[l.Ref] = &slot{ref: l.Ref, phase: loading, loadAt: now}
+func (s *State) startLoad(now time.Time, l Load) {
+	s.slots[l.Ref] = &slot{ref: l.Ref, phase: loading, loadStarted: now}
 	s.emit(l)
 }
 
-// Unloaded handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported that it
-// does not have the adapter.
+// Unloaded handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported that
+// it does not have the adapter.
 func (s *State) Unloaded(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != unloading {
-		return s.flush(now)
+		return s.schedule(now)
 	}
-	next := sl.next
-	if err != nil && !notThere(err) {
-		sl.phase, sl.next = loaded, nil
+	next := sl.nextLoad
+	if err != nil && !isNotFound(err) {
+		sl.phase, sl.nextLoad = loaded, nil
 		s.unloadFrom = now.Add(unloadPause)
 		s.emit(ReturnPermit{})
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	delete(s.slots, ref)
 	if err == nil {
-		s.lately.add(ref)
+		s.recentlyUnloaded.add(ref)
 	}
 	if s.stopped {
 		s.emit(ReturnPermit{})
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	if next == nil {
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	if len(s.slots) >= s.cfg.Slots {
 		// Reports have shown more loaded adapters in the meantime, so there is still no free slot.
 		s.emit(ReturnPermit{})
-		return s.flush(now)
+		return s.schedule(now)
 	}
-	s.beginLoad(now, *next)
-	return s.flush(now)
+	s.startLoad(now, *next)
+	return s.schedule(now)
 }
 
-// notThere reports whether the order was refused because its target, the adapter or the engine instance, does not exist.
-func notThere(err error) bool {
+// isNotFound reports whether the order was refused because its target, the adapter or the engine instance, does not exist.
+func isNotFound(err error) bool {
 	var refused *engine.OrderRefusedError
 	return errors.As(err, &refused) && refused.Type == engine.RefusalNotThere
 }
@@ -113,41 +113,41 @@
 func (s *State) Loaded(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != loading {
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	if err != nil {
-		s.endLoad(now, sl, err)
-		s.fail(now, ref)
-		return s.flush(now)
+		s.handleFailedLoad(now, sl, err)
+		s.backOff(now, ref)
+		return s.schedule(now)
 	}
 	delete(s.failures, ref)
-	sl.phase, sl.readyAt = loaded, now
-	for _, former := range s.formerVersions(ref) {
+	sl.phase, sl.loadedAt = loaded, now
+	for _, former := range s.replacedVersions(ref) {
 		delete(s.slots, former.ref)
 	}
-	if took := now.Sub(sl.loadAt); !s.lately.has(ref) {
+	if took := now.Sub(sl.loadStarted); !s.recentlyUnloaded.contains(ref) {
 		expected := s.expectedLoadTime(now)
-		s.loadTime, s.loadSeen = expected+time.Duration(loadTimeSmoothing*float64(took-expected)), now
+		s.meanLoadTime, s.lastLoadAt = expected+time.Duration(loadTimeSmoothing*float64(took-expected)), now
 	}
-	s.lately.drop(ref)
-	return s.flush(now)
+	s.recentlyUnloaded.remove(ref)
+	return s.schedule(now)
 }
 
-// endLoad handles the slot of a failed load. If neither the engine nor this box refused the order, the engine may still carry it out,
-// so the slot stays occupied for some time.
-func (s *State) endLoad(now time.Time, sl *slot, err error) {
+// handleFailedLoad handles the slot of a failed load. If neither the engine nor this box refused the order, the engine may still
+// carry it out, so the slot stays occupied for some time.
+func (s *State) handleFailedLoad(now time.Time, sl *slot, err error) {
 	var refused *engine.OrderRefusedError
 	if s.cfg.FinishesFirst && !errors.As(err, &refused) && !errors.Is(err, errNoAuthority) {
-		sl.phase, sl.doubtUntil = doubtful, now.Add(doubtTime)
+		sl.phase, sl.uncertainUntil = uncertain, now.Add(uncertainLoadTime)
 		return
 	}
 	delete(s.slots, sl.ref)
 }
 
-// dropDoubts frees the slots of unanswered loads that the engine can no longer carry out.
-func (s *State) dropDoubts(now time.Time) {
+// expireUncertainLoads frees the slots of unanswered loads that the engine can no longer carry out.
+func (s *State) expireUncertainLoads(now time.Time) {
 	for ref, sl := range s.slots {
-		if sl.phase == doubtful && !now.Before(sl.doubtUntil) {
+		if sl.phase == uncertain && !now.Before(sl.uncertainUntil) {
 			delete(s.slots, ref)
 		}
 	}
--- a/internal/owner/loading_test.go
+++ b/internal/owner/loading_test.go
@@ -12,12 +12,12 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestUnansweredLoadKeepsItsSlot checks that the slot of a load whose answer was lost is not given to another adapter. The engine may
-// carry out such a load seconds later.
+// TestUnansweredLoadKeepsItsSlot checks that the slot of a load whose answer was lost is not given to another adapter. The engine
+// may carry out such a load seconds later.
 func TestUnansweredLoadKeepsItsSlot(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := discovered(1)
+	s := newDiscoveredState(1)
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	c.Assert(actionsOf[owner.Load](s.Granted(now, ref(1))), qt.HasLen, 1)
 	s.Loaded(now, ref(1), errors.New("no answer"))
@@ -29,26 +29,28 @@
 	c.Check(actionsOf[owner.Load](s.Granted(now, ref(2))), qt.HasLen, 1)
 }
 
-// TestReplacedVersionKeepsItsSlotUntilTheNewOneIsThere checks that the old and the new version of an adapter both occupy a slot while
-// requests still run on the old version.
-func TestReplacedVersionKeepsItsSlotUntilTheNewOneIsThere(t *testing.T) {
+// TestReplacedVersionKeepsSlotUntilNewVersionIsLoaded checks that the old and the new version of an adapter both occupy a slot
+// while requests still run on the old version.
+func TestReplacedVersionKeepsSlotUntilNewVersionIsLoaded(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := discovered(2)
+	s := newDiscoveredState(2)
 	first, second, other := resource.Ref{Adapter: "a", Version: "1"}, resource.Ref{Adapter: "a", Version: "2"}, ref(9)
 	s.Adopt([]resource.Ref{first}, false)
-	c.Assert(actionsOf[owner.Start](s.Submit(now, owner.Ticket{ID: 1, Ref: first, Arrived: now, StartBy: now.Add(time.Minute)})), qt.HasLen, 1)
+	c.Assert(actionsOf[owner.Start](s.Submit(now, owner.Ticket{
+		ID: 1, Ref: first, Arrived: now, StartBy: now.Add(time.Minute),
+	})), qt.HasLen, 1)
 	s.Submit(now, owner.Ticket{ID: 2, Ref: second, Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	c.Assert(actionsOf[owner.Load](s.Granted(now, second)), qt.HasLen, 1)
 	s.Submit(now, owner.Ticket{ID: 3, Ref: other, Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	c.Check(actionsOf[owner.Load](s.Granted(now, other)), qt.HasLen, 0)
 	c.Check(actionsOf[owner.Start](s.Loaded(now, second, nil)), qt.HasLen, 1)
-	c.Check(s.Holds(first), qt.IsFalse)
+	c.Check(s.IsLoaded(first), qt.IsFalse)
 	c.Check(actionsOf[owner.Load](s.Granted(now, other)), qt.HasLen, 1)
 }
 
-// TestNothingIsLoadedBeforeTheFirstReport checks that no load is requested while the loaded adapters of the engine are unknown.
-func TestNothingIsLoadedBeforeTheFirstReport(t *testing.T) {
+// TestNoLoadBeforeFirstReport checks that no load is requested while the loaded adapters of the engine are unknown.
+func TestNoLoadBeforeFirstReport(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := owner.New(owner.Config{Slots: 1, Batch: 1, MaxQueue: 4, AwaitReport: true})
@@ -58,12 +60,12 @@
 	c.Check(actionsOf[owner.Start](s.Tick(now)), qt.HasLen, 1)
 }
 
-// TestNoLoadWhileMoreIsHeldThanFits checks that no load follows an unload if reports have shown more loaded adapters than slots. The
-// unload alone does not free a slot then.
-func TestNoLoadWhileMoreIsHeldThanFits(t *testing.T) {
+// TestNoLoadWhileSlotsAreExceeded checks that no load follows an unload if reports have shown more loaded adapters than slots.
+// The unload alone does not free a slot then.
+func TestNoLoadWhileSlotsAreExceeded(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := discovered(2)
+	s := newDiscoveredState(2)
 	s.Adopt([]resource.Ref{ref(1), ref(2)}, false)
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(3), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	unload := actionsOf[owner.Unload](s.Granted(now, ref(3)))
@@ -74,11 +76,12 @@
 	c.Check(actionsOf[owner.ReturnPermit](actions), qt.HasLen, 1)
 }
 
-// TestUnloadOfWhatIsNotThere checks that the slot is free if the engine refuses an unload because it does not have the adapter.
-func TestUnloadOfWhatIsNotThere(t *testing.T) {
+// TestUnloadOfMissingAdapterFreesSlot checks that the slot is free if the engine refuses an unload because it does not have the
+// adapter.
+func TestUnloadOfMissingAdapterFreesSlot(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := discovered(1)
+	s := newDiscoveredState(1)
 	s.Adopt([]resource.Ref{ref(1)}, false)
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(2), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	unloads := actionsOf[owner.Unload](s.Granted(now, ref(2)))
@@ -88,12 +91,12 @@
 	c.Check(loads[0].Ref, qt.Equals, ref(2))
 }
 
-// TestFailedUnloadIsNotOrderedAgainAtOnce checks that a failed unload is repeated only a few times per second. On a box without
+// TestFailedUnloadIsRetriedWithDelay checks that a failed unload is repeated only a few times per second. On a box without
 // authority each order fails immediately, so that a repetition without delay would be a busy loop.
-func TestFailedUnloadIsNotOrderedAgainAtOnce(t *testing.T) {
+func TestFailedUnloadIsRetriedWithDelay(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := discovered(1)
+	s := newDiscoveredState(1)
 	s.Adopt([]resource.Ref{ref(1)}, false)
 	pending := s.Submit(now, owner.Ticket{ID: 1, Ref: ref(2), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	unloads := 0
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -19,7 +19,7 @@
 	return engine.Target{Name: r.cfg.Name, Address: r.cfg.Engine.Address}
 }
 
-func (r *Runner) askPermit(ctx context.Context, a AskPermit) {
+func (r *Runner) requestPermit(ctx context.Context, a AskPermit) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(a.StartBy))
 	defer cancel()
 	p, err := r.cfg.Loads.Acquire(ctx, loads.Need{Engine: r.cfg.Name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters})
@@ -27,19 +27,19 @@
 		r.post(permitDenied{a.Ref})
 		return
 	}
-	r.post(permitGiven{a.Ref, p})
+	r.post(permitGranted{a.Ref, p})
 }
 
 func (r *Runner) load(ctx context.Context, l Load, permit loads.Permit) {
-	err := r.order(ctx, engine.Order{Action: engine.ActionLoad, Model: l.Ref.String(), Weights: l.Weights, Room: r.cfg.Engine.Slots})
+	err := r.sendOrder(ctx, engine.Order{Action: engine.ActionLoad, Model: l.Ref.String(), Weights: l.Weights, Room: r.cfg.Engine.Slots})
 	permit(true)
-	r.count("loads", err)
+	r.recordOrder("loads", err)
 	r.post(loadEnded{l.Ref, err})
 }
 
 func (r *Runner) unload(ctx context.Context, u Unload) {
-	err := r.order(ctx, engine.Order{Action: engine.ActionUnload, Model: u.Ref.String()})
-	r.count("unloads", err)
+	err := r.sendOrder(ctx, engine.Order{Action: engine.ActionUnload, Model: u.Ref.String()})
+	r.recordOrder("unloads", err)
 	r.post(unloadEnded{u.Ref, err})
 }
 
@@ -47,14 +47,14 @@
 func (r *Runner) loadBase(ctx context.Context) {
 	permit, err := r.cfg.BaseLoads.Acquire(ctx, loads.Need{Engine: r.cfg.Name, Urgency: resource.MaxUrgency, StartBy: clock.Now()})
 	if err == nil {
-		err = r.order(ctx, engine.Order{Action: engine.ActionLoadBase, Model: r.cfg.Engine.BaseModel})
+		err = r.sendOrder(ctx, engine.Order{Action: engine.ActionLoadBase, Model: r.cfg.Engine.BaseModel})
 		permit(true)
 	}
-	r.count("base_loads", err)
+	r.recordOrder("base_loads", err)
 	r.post(baseLoadEnded{err})
 }
 
-func (r *Runner) count(name string, err error) {
+func (r *Runner) recordOrder(name string, err error) {
 	r.cfg.Scope.Counter(name).Inc(1)
 	if err != nil {
 		r.cfg.Scope.Counter(name + "_failed").Inc(1)
@@ -64,9 +64,9 @@
 
 var errNoAuthority = errors.New("owner: no authority to send orders")
 
-// order sends one order to the engine and retries it after a failure. Repeating an order is safe: engines report success for a load of
-// a loaded adapter and for an unload of an adapter that they do not have.
-func (r *Runner) order(ctx context.Context, o engine.Order) error {
+// sendOrder sends one order to the engine and retries it after a failure. Repeating an order is safe: engines report success for
+// a load of a loaded adapter and for an unload of an adapter that they do not have.
+func (r *Runner) sendOrder(ctx context.Context, o engine.Order) error {
 	var err error
 	for range orderAttempts {
 		epoch, ok := r.cfg.Authority(clock.Now())
@@ -84,7 +84,7 @@
 			return err
 		}
 		r.cfg.Scope.Counter("order_retries").Inc(1)
-		time.Sleep(orderPause)
+		time.Sleep(orderRetryDelay)
 	}
 	return err
 }
@@ -95,9 +95,9 @@
 	return errors.As(err, &refused) || errors.Is(err, engine.ErrAuthorityOver) || errors.Is(err, engine.ErrBrokenOff)
 }
 
-// poll requests reports from the engine until ctx ends.
-func (r *Runner) poll(ctx context.Context) error {
-	tick := time.NewTicker(reportEvery)
+// pollReports requests reports from the engine until ctx ends.
+func (r *Runner) pollReports(ctx context.Context) error {
+	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
 	for {
 		rep, err := r.cfg.Client.Report(ctx, r.target())
@@ -106,10 +106,10 @@
 			r.cfg.Scope.Counter("report_failures").Inc(1)
 			if errors.Is(err, syscall.ECONNREFUSED) {
 				// The engine process has ended. Its entry in discovery expires only seconds later.
-				r.post(notListening{})
+				r.post(connectionRefused{})
 			}
 		} else {
-			r.post(reported{rep})
+			r.post(reportReceived{rep})
 		}
 		select {
 		case <-tick.C:
--- a/internal/owner/prefixes.go
+++ b/internal/owner/prefixes.go
@@ -13,10 +13,11 @@
 }
 
 const (
-	// maxPrefixes is the number of parts stored per engine, at about 150 bytes each. An engine's cache holds some hundred prompts.
-	maxPrefixes = 2048
-	// defaultCache is the assumed cache size in tokens of an engine whose cache size is unknown.
-	defaultCache = 100000
+	// maxCachedParts is the number of parts stored per engine, at about 150 bytes each. An engine's cache holds some hundred
+	// prompts.
+	maxCachedParts = 2048
+	// defaultCacheTokens is the assumed cache size in tokens of an engine whose cache size is unknown.
+	defaultCacheTokens = 100000
 )
 
 type prefixKey struct {
@@ -24,26 +25,26 @@
 	key uint64
 }
 
-// prefixes models the prefix cache of an engine: the prompt parts that it has processed per adapter. Like the engine, it removes the
-// least recently used parts when the cache is full.
-type prefixes struct {
-	most   int
-	tokens int
-	lru    *simplelru.LRU[prefixKey, int]
+// prefixCache models the prefix cache of an engine: the prompt parts that it has processed per adapter. Like the engine, it
+// removes the least recently used parts when the cache is full.
+type prefixCache struct {
+	maxTokens int
+	tokens    int
+	lru       *simplelru.LRU[prefixKey, int]
 }
 
-func newPrefixes(most int) *prefixes {
-	p := &prefixes{most: most}
-	if most <= 0 {
-		p.most = defaultCache
+func newPrefixCache(maxTokens int) *prefixCache {
+	p := &prefixCache{maxTokens: maxTokens}
+	if maxTokens <= 0 {
+		p.maxTokens = defaultCacheTokens
 	}
 	// NewLRU fails only if the size is not positive.
-	p.lru, _ = simplelru.NewLRU(maxPrefixes, func(_ prefixKey, tokens int) { p.tokens -= tokens })
+	p.lru, _ = simplelru.NewLRU(maxCachedParts, func(_ prefixKey, tokens int) { p.tokens -= tokens })
 	return p
 }
 
-// cached returns the number of tokens at the start of a prompt that are in the engine's cache.
-func (p *prefixes) cached(ref resource.Ref, parts []Part) int {
+// cachedTokens returns the number of tokens at the start of a prompt that are in the engine's cache.
+func (p *prefixCache) cachedTokens(ref resource.Ref, parts []Part) int {
 	sum := 0
 	for _, part := range parts {
 		if !p.lru.Contains(prefixKey{ref, part.Key}) {
@@ -54,9 +55,9 @@
 	return sum
 }
 
-// add stores the parts of a prompt. It adds the last part first, so that a part is removed later than the parts that follow it in the
-// prompt and need it.
-func (p *prefixes) add(ref resource.Ref, parts []Part) {
+// add stores the parts of a prompt. It adds the last part first, so that a part is removed later than the parts that follow it in
+// the prompt and need it.
+func (p *prefixCache) add(ref resource.Ref, parts []Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		k := prefixKey{ref, parts[i].Key}
 		if _, ok := p.lru.Get(k); ok {
@@ -65,11 +66,11 @@
 		p.tokens += parts[i].Tokens
 		p.lru.Add(k, parts[i].Tokens)
 	}
-	for p.tokens > p.most {
+	for p.tokens > p.maxTokens {
 		if _, _, ok := p.lru.RemoveOldest(); !ok {
 			return
 		}
 	}
 }
 
-func (p *prefixes) clear() { p.lru.Purge() }
+func (p *prefixCache) clear() { p.lru.Purge() }
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -10,28 +10,28 @@
 
 // Submit starts, queues or refuses a ticket.
 func (s *State) Submit(now time.Time, t Ticket) []Action {
-	s.rate.Hear(now, t.Rate)
+	s.rateLimiter.Hear(now, t.Rate)
 	if s.stopped || s.closed {
-		s.touch(now, t.Ref)
+		s.recordUse(now, t.Ref)
 		s.refuseClosed(t)
-		return s.flush(now)
+		return s.schedule(now)
 	}
-	if err := s.overRate(now, t); err != nil {
+	if err := s.checkRate(now, t); err != nil {
 		s.refuse(t, err)
-		return s.flush(now)
+		return s.schedule(now)
 	}
-	s.touch(now, t.Ref)
+	s.recordUse(now, t.Ref)
 	switch {
-	case !t.Last && (s.tooSlow(now, t) || s.crowded(now, t)):
-		s.sendOn(now, t)
+	case !t.Last && (s.isTooSlow(now, t) || s.isCrowded(now, t)):
+		s.redirect(now, t)
 	case len(s.waiting) >= s.cfg.MaxQueue:
-		s.refuseWorst(now, t)
-	case s.failing(now, t.Ref):
-		s.refuseFailing(now, t)
+		s.refuseLeastUrgent(now, t)
+	case s.isBackedOff(now, t.Ref):
+		s.refuseBackedOff(now, t)
 	default:
 		s.enqueue(now, t)
 	}
-	return s.flush(now)
+	return s.schedule(now)
 }
 
 // refuseClosed refuses a ticket because the engine accepts no tickets.
@@ -43,51 +43,51 @@
 	s.refuse(t, result.New(result.TryNext, "the engine's box is leaving"))
 }
 
-// crowded reports whether the caller should try its next engine. This is so if no slot can be freed for the ticket's adapter, or if the
-// batch is full and too many tickets wait ahead of the ticket.
-func (s *State) crowded(now time.Time, t Ticket) bool {
-	if !t.Ref.IsBase() && s.slots[t.Ref] == nil && s.wanted[t.Ref] == 0 && len(s.slots) >= s.cfg.Slots && s.victim(now) == nil {
+// isCrowded reports whether the caller should try its next engine. This is so if no slot can be freed for the ticket's adapter,
+// or if the batch is full and too many tickets wait ahead of the ticket.
+func (s *State) isCrowded(now time.Time, t Ticket) bool {
+	if !t.Ref.IsBase() && s.slots[t.Ref] == nil && s.waiters[t.Ref] == 0 && len(s.slots) >= s.cfg.Slots && s.victim(now) == nil {
 		return true
 	}
 	if len(s.running) < s.cfg.Batch {
 		return false
 	}
-	before := 0
+	ahead := 0
 	for _, w := range s.waiting {
 		if w.Urgency < t.Urgency {
 			break
 		}
-		before++
+		ahead++
 	}
-	return before >= s.cfg.Batch/crowdedShare
+	return ahead >= s.cfg.Batch/crowdedDivisor
 }
 
 func (s *State) refuse(t Ticket, err *result.Error) {
-	s.unrate(t)
+	s.returnRate(t)
 	s.emit(Refuse{Ticket: t, Err: err})
 }
 
-// refuseWorst handles a full queue. It refuses the last waiting ticket if t is more urgent, or else t.
-func (s *State) refuseWorst(now time.Time, t Ticket) {
-	worst := len(s.waiting) - 1
-	if worst >= 0 && s.waiting[worst].Urgency < t.Urgency {
-		out := s.waiting[worst]
-		s.keep(func(w Ticket) bool { return w.ID != out.ID })
-		s.refuse(out, result.New(result.QueueFull, "displaced by a more urgent request"))
+// refuseLeastUrgent handles a full queue. It refuses the last waiting ticket if t is more urgent, or else t.
+func (s *State) refuseLeastUrgent(now time.Time, t Ticket) {
+	last := len(s.waiting) - 1
+	if last >= 0 && s.waiting[last].Urgency < t.Urgency {
+		displaced := s.waiting[last]
+		s.retainWaiting(func(w Ticket) bool { return w.ID != displaced.ID })
+		s.refuse(displaced, result.New(result.QueueFull, "displaced by a more urgent request"))
 		s.enqueue(now, t)
 		return
 	}
 	s.refuse(t, result.New(result.QueueFull, "%d requests are already waiting", len(s.waiting)))
 }
 
-// keep removes the waiting tickets for which ok returns false.
-func (s *State) keep(ok func(Ticket) bool) {
+// retainWaiting removes the waiting tickets for which retain returns false.
+func (s *State) retainWaiting(retain func(Ticket) bool) {
 	s.waiting = slices.DeleteFunc(s.waiting, func(t Ticket) bool {
-		if ok(t) {
+		if retain(t) {
 			return false
 		}
-		if s.wanted[t.Ref]--; s.wanted[t.Ref] == 0 {
-			delete(s.wanted, t.Ref)
+		if s.waiters[t.Ref]--; s.waiters[t.Ref] == 0 {
+			delete(s.waiters, t.Ref)
 		}
 		return true
 	})
@@ -95,11 +95,11 @@
 
 // enqueue adds t to the waiting tickets, which are ordered by urgency, then by latest useful start, then by arrival.
 func (s *State) enqueue(now time.Time, t Ticket) {
-	t.rated = s.rate.Limited()
-	s.rate.Use(now, t.Customer)
-	at, _ := slices.BinarySearchFunc(s.waiting, t, compareTickets)
-	s.waiting = slices.Insert(s.waiting, at, t)
-	s.wanted[t.Ref]++
+	t.countedInRate = s.rateLimiter.Limited()
+	s.rateLimiter.Use(now, t.Customer)
+	index, _ := slices.BinarySearchFunc(s.waiting, t, compareTickets)
+	s.waiting = slices.Insert(s.waiting, index, t)
+	s.waiters[t.Ref]++
 }
 
 func compareTickets(a, b Ticket) int {
--- a/internal/owner/rate.go
+++ b/internal/owner/rate.go
@@ -7,35 +7,37 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// loneShare is the share of the engine's rate limit that an owner without authority uses. Another owner may use the whole rate at the
-// same time. Including the unused requests that both accumulate, the total stays below one and a half times the rate plus five.
-const loneShare = 0.4
+// unauthorizedRateShare is the share of the engine's rate limit that an owner without authority uses. Another owner may use the
+// whole rate at the same time. Including the unused requests that both accumulate, the total stays below one and a half times the
+// rate plus five.
+const unauthorizedRateShare = 0.4
 
-// HearRate updates the engine's rate limit in requests per second.
-func (s *State) HearRate(now time.Time, w *ratelimit.Word) { s.rate.Hear(now, w) }
+// UpdateRate updates the engine's rate limit in requests per second.
+func (s *State) UpdateRate(now time.Time, w *ratelimit.Word) { s.rateLimiter.Hear(now, w) }
 
 // Rate returns the engine's rate limit, or nil if it has none.
-func (s *State) Rate(now time.Time) *ratelimit.Word { return s.rate.Word(now) }
+func (s *State) Rate(now time.Time) *ratelimit.Word { return s.rateLimiter.Word(now) }
 
-// overRate returns an error if the engine's rate limit does not admit the ticket. On an engine with a rate limit, a ticket that needs
-// a load from the weight store is admitted only if the limit would otherwise stay unused or if no other engine can start the request.
-func (s *State) overRate(now time.Time, t Ticket) *result.Error {
-	ask := ratelimit.Ask{Urgency: t.Urgency, Customer: t.Customer, Dear: !t.Last && !t.Pressed && !s.near(t.Ref)}
-	if t.Lone {
-		ask.Lone = loneShare
+// checkRate returns an error if the engine's rate limit does not admit the ticket. On an engine with a rate limit, a ticket that
+// needs a load from the weight store is admitted only if the limit would otherwise stay unused or if no other engine can start
+// the request.
+func (s *State) checkRate(now time.Time, t Ticket) *result.Error {
+	ask := ratelimit.Ask{Urgency: t.Urgency, Customer: t.Customer, Dear: !t.Last && !t.OthersTooSlow && !s.isLocal(t.Ref)}
+	if t.SharedRate {
+		ask.Lone = unauthorizedRateShare
 	}
-	wait, ok := s.rate.Check(now, ask)
+	wait, ok := s.rateLimiter.Check(now, ask)
 	if ok {
 		return nil
 	}
-	err := result.New(result.RateLimited, "the engine accepts %.3g requests per second", s.rate.Word(now).Rate)
+	err := result.New(result.RateLimited, "the engine accepts %.3g requests per second", s.rateLimiter.Word(now).Rate)
 	err.RetryAfter = wait
 	return err
 }
 
-// unrate returns the share of the rate limit that was counted for a ticket that will not run.
-func (s *State) unrate(t Ticket) {
-	if t.rated {
-		s.rate.GiveBack()
+// returnRate returns the share of the rate limit that was counted for a ticket that will not run.
+func (s *State) returnRate(t Ticket) {
+	if t.countedInRate {
+		s.rateLimiter.GiveBack()
 	}
 }
--- a/internal/owner/reconcile.go
+++ b/internal/owner/reconcile.go
@@ -7,9 +7,9 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// steadyReports is the number of consecutive reports that must show the same difference before the state is corrected. A single report
-// may be older than the last order.
-const steadyReports = 3
+// requiredReports is the number of consecutive reports that must show the same difference before the state is corrected. A single
+// report may be older than the last order.
+const requiredReports = 3
 
 // reconciler compares engine reports with the State. It is not safe for concurrent use.
 type reconciler struct {
@@ -23,37 +23,39 @@
 	return &reconciler{unknown: map[resource.Ref]int{}, absent: map[resource.Ref]int{}}
 }
 
-// compare evaluates a report. It returns the adapters to adopt and the adapters that are gone, according to enough consecutive reports.
+// compare evaluates a report. It returns the adapters to adopt and the adapters that are gone, according to enough consecutive
+// reports.
 func (r *reconciler) compare(s *State, rep engine.Report) (adopt, gone []resource.Ref) {
-	reported := refsOf(rep)
-	adopt = steady(r.unknown, reported, func(ref resource.Ref) bool { return !s.Knows(ref) })
-	held := s.Held()
-	gone = steady(r.absent, held, func(ref resource.Ref) bool { return !slices.Contains(reported, ref) })
+	reported := loadedRefs(rep)
+	adopt = countConsecutive(r.unknown, reported, func(ref resource.Ref) bool { return !s.IsTracked(ref) })
+	known := s.LoadedRefs()
+	gone = countConsecutive(r.absent, known, func(ref resource.Ref) bool { return !slices.Contains(reported, ref) })
 	return adopt, gone
 }
 
-// steady increments the count of each ref for which differs returns true and removes all other counts. It returns the refs whose count
-// has reached steadyReports.
-func steady(counts map[resource.Ref]int, refs []resource.Ref, differs func(resource.Ref) bool) []resource.Ref {
+// countConsecutive increments the count of each ref for which differs returns true and removes all other counts. It returns the
+// refs whose count has reached requiredReports.
+func countConsecutive(counts map[resource.Ref]int, refs []resource.Ref, differs func(resource.Ref) bool) []resource.Ref {
 	var found []resource.Ref
-	next := map[resource.Ref]int{}
+	newCounts := map[resource.Ref]int{}
 	for _, ref := range refs {
 		if !differs(ref) {
 			continue
 		}
-		if next[ref] = counts[ref] + 1; next[ref] >= steadyReports {
+		if newCounts[ref] = counts[ref] + 1; newCounts[ref] >= requiredReports {
 			found = append(found, ref)
 		}
 	}
 	clear(counts)
-	for ref, n := range next {
+	for ref, n := range newCounts {
 		counts[ref] = n
 	}
 	return found
 }
 
-// refsOf returns the adapter versions that a report lists as loaded. It skips other names, since this system did not load them.
-func refsOf(rep engine.Report) []resource.Ref {
+// loadedRefs returns the adapter versions that a report lists as loaded. It skips other names, since this system did not load
+// them.
+func loadedRefs(rep engine.Report) []resource.Ref {
 	var refs []resource.Ref
 	for _, m := range rep.Loaded {
 		if ref, err := resource.ParseRef(m); err == nil {
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -10,44 +10,44 @@
 	"github.com/bellgap/bellgap/internal/policy"
 )
 
-// report updates the state from an engine report. The first report of an incarnation shows the loaded adapters. A changed incarnation
-// means that the engine has restarted and is empty. Later reports correct differences that persist.
-func (r *Runner) report(now time.Time, rep engine.Report) []Action {
+// handleReport updates the state from an engine report. The first report of an incarnation shows the loaded adapters. A changed
+// incarnation means that the engine has restarted and is empty. Later reports correct differences that persist.
+func (r *Runner) handleReport(now time.Time, rep engine.Report) []Action {
 	if rate := rep.Notice.Rate; rate.Limited {
-		// The start time from discovery is used, as for rates in answers. A start time that is not known here yet would take precedence over
-		// all rates received for the current instance.
+		// The start time from discovery is used, as for rates in answers. A start time that is not known here yet would take precedence
+		// over all rates received for the current instance.
 		rate.Started = r.cfg.Engine.Started
-		r.state.HearRate(now, &rate)
+		r.state.UpdateRate(now, &rate)
 	}
-	var out []Action
-	if rep.Notice.Leaving && !r.left {
-		r.left = true
-		out = r.close(now)
+	var actions []Action
+	if rep.Notice.Leaving && !r.engineLeaving {
+		r.engineLeaving = true
+		actions = r.updateClosed(now)
 	}
-	if r.gone {
-		r.gone = false
-		out = append(out, r.close(now)...)
+	if r.engineGone {
+		r.engineGone = false
+		actions = append(actions, r.updateClosed(now)...)
 	}
 	if r.incarnation == rep.Incarnation {
-		return append(out, r.reconcile(now, rep)...)
+		return append(actions, r.reconcile(now, rep)...)
 	}
 	if r.incarnation != "" {
 		klog.InfoS("engine restarted", "engine", r.cfg.Name)
-		r.left = rep.Notice.Leaving
-		out = append(out, r.close(now)...)
+		r.engineLeaving = rep.Notice.Leaving
+		actions = append(actions, r.updateClosed(now)...)
 		r.cfg.Scope.Counter("engine_restarts").Inc(1)
-		out = append(out, r.state.Restarted(now)...)
+		actions = append(actions, r.state.Restarted(now)...)
 	}
 	r.incarnation = rep.Incarnation
 	r.baseMissing = rep.BaseModels != nil && !slices.Contains(rep.BaseModels, r.cfg.Engine.BaseModel)
 	if r.baseMissing {
-		out = append(out, r.close(now)...)
+		actions = append(actions, r.updateClosed(now)...)
 		if slices.Contains(rep.AtHand, r.cfg.Engine.BaseModel) || !r.cfg.Policy.On(policy.BaseOnDemand) {
-			out = append(out, r.loadMissing()...)
+			actions = append(actions, r.startBaseLoad()...)
 		}
 	}
-	r.state.Adopt(refsOf(rep), r.foreign)
-	return append(out, r.state.Tick(now)...)
+	r.state.Adopt(loadedRefs(rep), r.previousOwnerActive)
+	return append(actions, r.state.Tick(now)...)
 }
 
 func (r *Runner) reconcile(now time.Time, rep engine.Report) []Action {
@@ -57,21 +57,21 @@
 	}
 	klog.InfoS("loaded adapters differ from recorded state", "engine", r.cfg.Name, "unknown", adopt, "gone", gone)
 	r.cfg.Scope.Counter("engine_corrections").Inc(int64(len(adopt) + len(gone)))
-	r.state.Adopt(adopt, r.foreign)
-	return r.state.Lost(now, gone)
+	r.state.Adopt(adopt, r.previousOwnerActive)
+	return r.state.RemoveLost(now, gone)
 }
 
-// wanted counts a ticket for an engine without its base model, if no other tried engine could start the ticket in time. Enough such
-// tickets start the load of the base model. An engine with a rate limit gets no base model.
-func (r *Runner) wanted(now time.Time, t Ticket) []Action {
-	if !r.baseMissing || !t.Pressed || r.state.Rate(now) != nil || !r.demand.note(now) {
+// recordBaseDemand counts a ticket for an engine without its base model, if no other tried engine could start the ticket in time.
+// Enough such tickets start the load of the base model. An engine with a rate limit gets no base model.
+func (r *Runner) recordBaseDemand(now time.Time, t Ticket) []Action {
+	if !r.baseMissing || !t.OthersTooSlow || r.state.Rate(now) != nil || !r.demand.add(now) {
 		return nil
 	}
-	return r.loadMissing()
+	return r.startBaseLoad()
 }
 
-// loadMissing starts the load of the base model unless it is already being loaded.
-func (r *Runner) loadMissing() []Action {
+// startBaseLoad starts the load of the base model unless it is already being loaded.
+func (r *Runner) startBaseLoad() []Action {
 	if r.baseLoading {
 		return nil
 	}
@@ -79,27 +79,29 @@
 	return []Action{LoadBase{}}
 }
 
-// close closes the state, so that waiting tickets go to other engines, if there is a reason to, and otherwise opens it again.
-func (r *Runner) close(now time.Time) []Action {
-	return r.state.Close(now, r.leaving || r.left || r.baseMissing || r.gone)
+// updateClosed closes the state, so that waiting tickets go to other engines, if there is a reason to, and otherwise opens it
+// again.
+func (r *Runner) updateClosed(now time.Time) []Action {
+	return r.state.SetClosed(now, r.boxLeaving || r.engineLeaving || r.baseMissing || r.engineGone)
 }
 
-// noteGone closes the state if the engine refused an order because its target does not exist. The engine's entry in discovery expires
-// only seconds later, and tickets that wait here until then would not start. The next report opens the state again.
-func (r *Runner) noteGone(now time.Time, err error) []Action {
-	if !notThere(err) {
+// markGoneIfNotFound closes the state if the engine refused an order because its target does not exist. The engine's entry in
+// discovery expires only seconds later, and tickets that wait here until then would not start. The next report opens the state
+// again.
+func (r *Runner) markGoneIfNotFound(now time.Time, err error) []Action {
+	if !isNotFound(err) {
 		return nil
 	}
-	return r.goneNow(now, err.Error())
+	return r.markGone(now, err.Error())
 }
 
-// goneNow closes the state until the next report of the engine.
-func (r *Runner) goneNow(now time.Time, why string) []Action {
-	if r.gone {
+// markGone closes the state until the next report of the engine.
+func (r *Runner) markGone(now time.Time, reason string) []Action {
+	if r.engineGone {
 		return nil
 	}
-	klog.InfoS("engine not found, closed until its next report", "engine", r.cfg.Name, "why", why)
+	klog.InfoS("engine not found, closed until its next report", "engine", r.cfg.Name, "why", reason)
 	r.cfg.Scope.Counter("engines_not_there").Inc(1)
-	r.gone = true
-	return r.close(now)
+	r.engineGone = true
+	return r.updateClosed(now)
 }
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -22,12 +22,16 @@
 
 // Timings and bounds of a Runner.
 const (
-	eventRing     = 1024
-	tickEvery     = 50 * time.Millisecond
-	reportEvery   = time.Second
-	orderAttempts = 3
-	orderPause    = 100 * time.Millisecond
-	spareOrders   = 8
+	// eventBuffer is the capacity of the event channel.
+	eventBuffer = 1024
+	// tickInterval is the time between two calls of State.Tick.
+	tickInterval = 50 * time.Millisecond
+	// reportInterval is the time between two report requests.
+	reportInterval  = time.Second
+	orderAttempts   = 3
+	orderRetryDelay = 100 * time.Millisecond
+	// extraOrders is a reserve in the limit of concurrent order goroutines.
+	extraOrders = 8
 )
 
 // Authority reports whether this box may send orders now, and under which epoch.
@@ -35,7 +39,8 @@
 
 // Engines sends orders to engines and fetches their reports over the network.
 type Engines interface {
-	// Give sends an order and returns once the engine has carried it out. It returns an *engine.OrderRefusedError if the engine refuses.
+	// Give sends an order and returns once the engine has carried it out. It returns an *engine.OrderRefusedError if the engine
+	// refuses.
 	Give(ctx context.Context, to engine.Target, o engine.Order) error
 	// Report fetches the current report of an engine.
 	Report(ctx context.Context, from engine.Target) (engine.Report, error)
@@ -62,8 +67,8 @@
 	Authority Authority
 	// Rate is the engine's last known rate limit, or nil if none is known.
 	Rate *ratelimit.Word
-	// Left is true if the engine has announced that it is leaving.
-	Left bool
+	// EngineLeaving is true if the engine has announced that it is leaving.
+	EngineLeaving bool
 	// Notices receives the notices in the engine's reports. It is nil if only the owner needs them.
 	Notices *notice.Board
 	Scope   tally.Scope
@@ -75,27 +80,33 @@
 	events chan event
 	done   chan struct{}
 	nextID atomic.Uint64
-	// inFlight is the number of running requests after the last event. It is needed for the handover of the engine, as are stopped
-	// and ordering.
+	// inFlight is the number of running requests after the last event. The handover of the engine depends on inFlight, stopped and
+	// ordersInFlight.
 	inFlight atomic.Int64
 	// stopped is true once the loop has handled Stop.
 	stopped atomic.Bool
-	// ordering is the number of orders in flight.
-	ordering atomic.Int64
+	// ordersInFlight is the number of orders in flight.
+	ordersInFlight atomic.Int64
 	// rate is the engine's rate limit after the last event.
 	rate atomic.Pointer[ratelimit.Word]
-	// hasLeft is the value of left after the last event.
-	hasLeft atomic.Bool
+	// publishedLeaving is the value of engineLeaving after the last event.
+	publishedLeaving atomic.Bool
+
+	// Only the loop may access the fields from state to engineGone.
 
-	// Only the loop may access the fields from here to gone.
-	state       *State
-	replies     map[uint64]chan verdict
-	permits     []loads.Permit
+	state   *State
+	replies map[uint64]chan decision
+	// permits holds the granted permits that are not used yet.
+	permits []loads.Permit
+	// incarnation is the incarnation in the engine's last report.
 	incarnation string
-	foreign     bool
-	reconciler  *reconciler
-	orders      *errgroup.Group
-	// Each of baseMissing, leaving, left and gone closes the state.
+	// previousOwnerActive is true while the previous owner may have requests in flight.
+	previousOwnerActive bool
+	reconciler          *reconciler
+	// orders runs the order goroutines.
+	orders *errgroup.Group
+
+	// Each of baseMissing, boxLeaving, engineLeaving and engineGone closes the state.
 
 	// baseMissing is true if the engine has not loaded its base model.
 	baseMissing bool
@@ -103,12 +114,12 @@
 	baseLoading bool
 	// demand counts the requests that the missing base model could have served.
 	demand baseDemand
-	// leaving is true if the engine's box is leaving.
-	leaving bool
-	// left is true if the engine has announced since its last start that it is leaving.
-	left bool
-	// gone is true if the engine was not found and has sent no report since.
-	gone bool
+	// boxLeaving is true if the engine's box is leaving.
+	boxLeaving bool
+	// engineLeaving is true if the engine has announced since its last start that it is leaving.
+	engineLeaving bool
+	// engineGone is true if the engine was not found and has sent no report since.
+	engineGone bool
 
 	// mu guards status.
 	mu     sync.Mutex
@@ -132,20 +143,20 @@
 // NewRunner returns a Runner, which handles requests while Serve runs.
 func NewRunner(cfg RunnerConfig) *Runner {
 	r := &Runner{
-		cfg: cfg, events: make(chan event, eventRing), done: make(chan struct{}),
+		cfg: cfg, events: make(chan event, eventBuffer), done: make(chan struct{}),
 		state: New(Config{
 			Slots: cfg.Engine.Slots, Batch: cfg.Engine.Batch, MaxQueue: cfg.MaxQueue, Pack: cfg.Pack, KVTokens: cfg.Engine.KVTokens,
 			PrefillRate: cfg.PrefillRate, FinishesFirst: cfg.Engine.FinishesFirst, AwaitReport: cfg.Engine.FinishesFirst, Policy: cfg.Policy,
 		}),
-		replies: map[uint64]chan verdict{}, foreign: true, reconciler: newReconciler(), orders: &errgroup.Group{},
-		status: Status{Engine: cfg.Name}, left: cfg.Left,
+		replies: map[uint64]chan decision{}, previousOwnerActive: true, reconciler: newReconciler(), orders: &errgroup.Group{},
+		status: Status{Engine: cfg.Name}, engineLeaving: cfg.EngineLeaving,
 	}
-	if r.left {
+	if r.engineLeaving {
 		// No tickets wait yet, so there are no actions to carry out.
-		_ = r.close(clock.Now())
+		_ = r.updateClosed(clock.Now())
 	}
-	r.state.rate.Born(cfg.Engine.Started)
-	r.state.HearRate(clock.Now(), cfg.Rate)
+	r.state.rateLimiter.Born(cfg.Engine.Started)
+	r.state.UpdateRate(clock.Now(), cfg.Rate)
 	return r
 }
 
@@ -166,38 +177,39 @@
 func (r *Runner) InFlight() int { return int(r.inFlight.Load()) }
 
 // Stopped reports whether Stop has taken effect and no order is in flight.
-func (r *Runner) Stopped() bool { return r.stopped.Load() && r.ordering.Load() == 0 }
+func (r *Runner) Stopped() bool { return r.stopped.Load() && r.ordersInFlight.Load() == 0 }
 
-// Settle allows the unloading of adapters taken over from the previous owner, which has no requests in flight anymore.
-func (r *Runner) Settle() { r.post(settled{}) }
+// FinishTakeover allows the unloading of adapters taken over from the previous owner, which has no requests in flight anymore.
+func (r *Runner) FinishTakeover() { r.post(takeoverFinished{}) }
 
 // Stop refuses the waiting requests and all further requests. Running requests continue.
-func (r *Runner) Stop() { r.post(stopping{}) }
+func (r *Runner) Stop() { r.post(stopRequested{}) }
 
-// post sends an event to the loop. If the loop has ended, it releases the event instead.
+// post sends an event to the loop. If the loop has ended, it discards the event.
 func (r *Runner) post(e event) {
 	select {
 	case r.events <- e:
 	case <-r.done:
-		abandon(e)
+		discardEvent(e)
 	}
 }
 
 // HearRate updates the engine's rate limit, as received from the engine or from another box.
-func (r *Runner) HearRate(w ratelimit.Word) { r.post(rateHeard{w}) }
+func (r *Runner) HearRate(w ratelimit.Word) { r.post(rateReceived{w}) }
 
 // Rate returns the engine's rate limit, or nil if it has none.
 func (r *Runner) Rate() *ratelimit.Word { return r.rate.Load() }
 
 // HearLeft records that the engine has announced that it is leaving. It gets no new requests or orders until it
 // restarts.
-func (r *Runner) HearLeft() { r.post(leftHeard{}) }
+func (r *Runner) HearLeft() { r.post(leaveNoticeReceived{}) }
 
 // Left reports whether the engine has announced that it is leaving.
-func (r *Runner) Left() bool { return r.hasLeft.Load() }
+func (r *Runner) Left() bool { return r.publishedLeaving.Load() }
 
-// Close sets whether the engine's box is leaving. While it is, waiting and new requests are refused so that they go to other engines.
-func (r *Runner) Close(closed bool) { r.post(closing{closed}) }
+// SetBoxLeaving sets whether the engine's box is leaving. While it is, waiting and new requests are refused so that they go to
+// other engines.
+func (r *Runner) SetBoxLeaving(leaving bool) { r.post(boxLeavingChanged{leaving}) }
 
 // Request describes a request for Acquire.
 type Request struct {
@@ -207,18 +219,22 @@
 	StartBy time.Time
 	// Last is true if the caller tries no other engine after this engine.
 	Last bool
-	// Prompt, Output, Parts, Accept and Near have the same meaning as in Ticket.
+	// Prompt is the number of prompt tokens. Output is the caller's estimate of the number of generated tokens. Zero means unknown.
 	Prompt int
 	Output int
-	Parts  []Part
+	// Parts lists the shareable parts of the prompt in order.
+	Parts []Part
+	// Accept is the longest acceptable expected wait for the first token. Zero accepts any wait.
 	Accept time.Duration
-	Near   bool
-	// Pressed is true if none of the engines tried before can start the request in time. It only affects engines that have a rate limit
-	// or lack their base model.
+	// Near requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive Accept.
+	Near bool
+	// Pressed is true if none of the engines tried before can start the request in time. It only affects engines that have a rate
+	// limit or lack their base model.
 	Pressed bool
-	// Customer and Rate have the same meaning as in Ticket.
+	// Customer sent the request.
 	Customer string
-	Rate     *ratelimit.Word
+	// Rate is the engine's rate limit as the requesting box knows it.
+	Rate *ratelimit.Word
 }
 
 // Grant lets one request run on the engine until it is released.
@@ -233,7 +249,7 @@
 }
 
 // Read records that the first token of the answer has arrived.
-func (g *Grant) Read() { g.runner.post(promptRead{g.id}) }
+func (g *Grant) Read() { g.runner.post(firstTokenReceived{g.id}) }
 
 // HearRate updates the engine's rate limit, as received in the engine's answer.
 func (g *Grant) HearRate(w ratelimit.Word) { g.runner.HearRate(w) }
@@ -245,19 +261,19 @@
 func (g *Grant) Left() bool { return g.runner.Left() }
 
 // Release ends the request. It must be called exactly once.
-func (g *Grant) Release(end End) { g.runner.post(ended{g.id, end}) }
+func (g *Grant) Release(end End) { g.runner.post(ticketEnded{g.id, end}) }
 
 // Acquire waits until the request may start. It returns a *result.Error if the request may not start.
-func (r *Runner) Acquire(ctx context.Context, q Request) (*Grant, error) {
+func (r *Runner) Acquire(ctx context.Context, req Request) (*Grant, error) {
 	id := r.nextID.Add(1)
-	reply := make(chan verdict, 1)
+	reply := make(chan decision, 1)
 	t := Ticket{
-		ID: id, Ref: q.Ref, Weights: q.Weights, Urgency: q.Urgency, Arrived: clock.Now(), StartBy: q.StartBy, Last: q.Last,
-		Prompt: q.Prompt, Output: q.Output, Parts: q.Parts, Accept: q.Accept, Near: q.Near, Pressed: q.Pressed,
-		Customer: q.Customer, Rate: q.Rate,
+		ID: id, Ref: req.Ref, Weights: req.Weights, Urgency: req.Urgency, Arrived: clock.Now(), StartBy: req.StartBy, Last: req.Last,
+		Prompt: req.Prompt, Output: req.Output, Parts: req.Parts, MaxWait: req.Accept, LocalOnly: req.Near, OthersTooSlow: req.Pressed,
+		Customer: req.Customer, Rate: req.Rate,
 	}
 	select {
-	case r.events <- submitted{t, reply}:
+	case r.events <- ticketSubmitted{t, reply}:
 	case <-r.done:
 		return nil, result.New(result.NotOwner, "this box no longer owns the engine")
 	default:
@@ -272,13 +288,13 @@
 	case <-r.done:
 		return nil, result.New(result.NotOwner, "this box no longer owns the engine")
 	case <-ctx.Done():
-		r.post(canceled{id})
+		r.post(ticketCanceled{id})
 		return nil, result.New(result.CallerGone, "%v", context.Cause(ctx))
 	}
 }
 
-// ended reports whether the loop has ended.
-func (r *Runner) ended() bool {
+// hasEnded reports whether the loop has ended.
+func (r *Runner) hasEnded() bool {
 	select {
 	case <-r.done:
 		return true
@@ -289,53 +305,53 @@
 
 // Serve runs the loop until ctx ends. A Runner that has ended cannot be restarted. Its Set starts a new Runner instead.
 func (r *Runner) Serve(ctx context.Context) error {
-	if r.ended() {
+	if r.hasEnded() {
 		return suture.ErrDoNotRestart
 	}
-	end := sync.OnceFunc(func() { close(r.done) })
-	defer end()
+	closeDone := sync.OnceFunc(func() { close(r.done) })
+	defer closeDone()
 	orders, ctx := errgroup.WithContext(ctx)
 	// Each slot has at most one order in flight. The limit also covers the permit requests and the report poll, so that no goroutine
 	// waits for another.
-	orders.SetLimit(2*r.cfg.Engine.Slots + 2*maxAsked + spareOrders)
+	orders.SetLimit(2*r.cfg.Engine.Slots + 2*maxPermitRequests + extraOrders)
 	r.orders = orders
-	orders.Go(func() error { return r.poll(ctx) })
+	orders.Go(func() error { return r.pollReports(ctx) })
 	err := r.loop(ctx)
-	end()
+	closeDone()
 	// The order goroutines end with ctx and return no errors.
 	_ = orders.Wait()
 	for {
 		select {
 		case e := <-r.events:
-			abandon(e)
+			discardEvent(e)
 		default:
 			return err
 		}
 	}
 }
 
-// abandon returns the permit that an unhandled event may hold.
-func abandon(e event) {
-	if given, ok := e.(permitGiven); ok {
-		given.permit(false)
+// discardEvent returns the permit that an unhandled event may hold.
+func discardEvent(e event) {
+	if granted, ok := e.(permitGranted); ok {
+		granted.permit(false)
 	}
 }
 
 func (r *Runner) loop(ctx context.Context) error {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case e := <-r.events:
 			now := clock.Now()
-			actions := r.take(now, e)
+			actions := r.handleEvent(now, e)
 			r.inFlight.Store(int64(r.state.InFlight()))
 			r.rate.Store(r.state.Rate(now))
-			r.hasLeft.Store(r.left)
-			r.carryOut(ctx, actions)
+			r.publishedLeaving.Store(r.engineLeaving)
+			r.execute(ctx, actions)
 		case <-tick.C:
-			r.carryOut(ctx, r.state.Tick(clock.Now()))
-			r.show()
+			r.execute(ctx, r.state.Tick(clock.Now()))
+			r.publishStatus()
 		case <-ctx.Done():
 			for _, p := range r.permits {
 				p(false)
@@ -345,100 +361,101 @@
 	}
 }
 
-func (r *Runner) take(now time.Time, e event) []Action {
+func (r *Runner) handleEvent(now time.Time, e event) []Action {
 	switch e := e.(type) {
-	case submitted:
-		if r.left {
+	case ticketSubmitted:
+		if r.engineLeaving {
 			// The separate result code keeps the caller from retrying this engine, as it would retry an engine that is temporarily
 			// without an owner or busy. All retries would fail.
-			e.reply <- verdict{err: result.New(result.EndpointLeaving, "%s", r.cfg.Name)}
+			e.reply <- decision{err: result.New(result.EndpointLeaving, "%s", r.cfg.Name)}
 			return nil
 		}
-		e.ticket.Lone = r.lone(now)
+		e.ticket.SharedRate = r.mayShareRate(now)
 		r.replies[e.ticket.ID] = e.reply
-		return append(r.wanted(now, e.ticket), r.state.Submit(now, e.ticket)...)
-	case canceled:
+		return append(r.recordBaseDemand(now, e.ticket), r.state.Submit(now, e.ticket)...)
+	case ticketCanceled:
 		delete(r.replies, e.id)
 		return r.state.Cancel(now, e.id)
-	case ended:
-		out := r.state.Done(now, e.id, e.end)
+	case ticketEnded:
+		actions := r.state.Done(now, e.id, e.end)
 		if e.end == EndNotListening {
-			out = append(out, r.goneNow(now, "connection refused for a request")...)
+			actions = append(actions, r.markGone(now, "a request found no listener at the engine's address")...)
 		}
-		return out
-	case rateHeard:
-		r.state.HearRate(now, &e.word)
+		return actions
+	case rateReceived:
+		r.state.UpdateRate(now, &e.rate)
 		return nil
-	case promptRead:
-		r.state.Read(now, e.id)
+	case firstTokenReceived:
+		r.state.RecordFirstToken(now, e.id)
 		return nil
-	case permitGiven:
+	case permitGranted:
 		r.permits = append(r.permits, e.permit)
 		return r.state.Granted(now, e.ref)
 	case permitDenied:
-		return r.state.Denied(now, e.ref)
+		return r.state.PermitDenied(now, e.ref)
 	case loadEnded:
-		r.ordering.Add(-1)
-		return append(r.state.Loaded(now, e.ref, e.err), r.noteGone(now, e.err)...)
+		r.ordersInFlight.Add(-1)
+		return append(r.state.Loaded(now, e.ref, e.err), r.markGoneIfNotFound(now, e.err)...)
 	case unloadEnded:
-		r.ordering.Add(-1)
-		return append(r.state.Unloaded(now, e.ref, e.err), r.noteGone(now, e.err)...)
-	case reported:
-		return r.report(now, e.report)
-	case notListening:
-		return r.goneNow(now, "connection refused for a report")
-	case settled:
-		r.foreign = false
-		return r.state.Settle(now)
-	case stopping:
+		r.ordersInFlight.Add(-1)
+		return append(r.state.Unloaded(now, e.ref, e.err), r.markGoneIfNotFound(now, e.err)...)
+	case reportReceived:
+		return r.handleReport(now, e.report)
+	case connectionRefused:
+		return r.markGone(now, "connection refused for a report")
+	case takeoverFinished:
+		r.previousOwnerActive = false
+		return r.state.FinishTakeover(now)
+	case stopRequested:
 		defer r.stopped.Store(true)
 		return r.state.Stop(now)
-	case closing:
-		r.leaving = e.closed
-		return r.close(now)
-	case leftHeard:
-		r.left = true
-		return r.close(now)
+	case boxLeavingChanged:
+		r.boxLeaving = e.leaving
+		return r.updateClosed(now)
+	case leaveNoticeReceived:
+		r.engineLeaving = true
+		return r.updateClosed(now)
 	case baseLoadEnded:
-		r.ordering.Add(-1)
+		r.ordersInFlight.Add(-1)
 		r.baseLoading = false
 		if r.baseMissing = e.err != nil; r.baseMissing {
 			// Clearing the incarnation makes the next report start the load again if needed.
 			r.incarnation = ""
 		}
-		return r.close(now)
+		return r.updateClosed(now)
 	default:
 		return nil
 	}
 }
 
-// lone reports whether another box may also count requests against the engine's rate limit, because this box has no authority now.
-func (r *Runner) lone(now time.Time) bool {
-	if !r.state.rate.Limited() {
+// mayShareRate reports whether another box may also count requests against the engine's rate limit, because this box has no
+// authority now.
+func (r *Runner) mayShareRate(now time.Time) bool {
+	if !r.state.rateLimiter.Limited() {
 		return false
 	}
 	_, authorized := r.cfg.Authority(now)
 	return !authorized
 }
 
-func (r *Runner) carryOut(ctx context.Context, actions []Action) {
+func (r *Runner) execute(ctx context.Context, actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Start:
-			r.answer(a.Ticket.ID, verdict{stalled: a.Stalled})
+			r.sendDecision(a.Ticket.ID, decision{stalled: a.Stalled})
 		case Refuse:
-			r.answer(a.Ticket.ID, verdict{err: a.Err})
+			r.sendDecision(a.Ticket.ID, decision{err: a.Err})
 		case AskPermit:
-			r.orders.Go(func() error { r.askPermit(ctx, a); return nil })
+			r.orders.Go(func() error { r.requestPermit(ctx, a); return nil })
 		case Load:
 			permit := r.popPermit()
-			r.ordering.Add(1)
+			r.ordersInFlight.Add(1)
 			r.orders.Go(func() error { r.load(ctx, a, permit); return nil })
 		case LoadBase:
-			r.ordering.Add(1)
+			r.ordersInFlight.Add(1)
 			r.orders.Go(func() error { r.loadBase(ctx); return nil })
 		case Unload:
-			r.ordering.Add(1)
+			r.ordersInFlight.Add(1)
 			r.orders.Go(func() error { r.unload(ctx, a); return nil })
 		case ReturnPermit:
 			// Returning a permit may call another box, and the loop must not wait for that call.
@@ -448,7 +465,7 @@
 	}
 }
 
-func (r *Runner) answer(id uint64, v verdict) {
+func (r *Runner) sendDecision(id uint64, v decision) {
 	if reply, ok := r.replies[id]; ok {
 		delete(r.replies, id)
 		reply <- v
@@ -465,9 +482,12 @@
 	return p
 }
 
-func (r *Runner) show() {
+func (r *Runner) publishStatus() {
 	_, ok := r.cfg.Authority(clock.Now())
-	st := Status{Engine: r.cfg.Name, InFlight: r.state.InFlight(), Waiting: r.state.Waiting(), Loaded: r.state.LoadedNames(), Frozen: !ok, Left: r.left, RateRefused: r.state.rate.Refused()}
+	st := Status{
+		Engine: r.cfg.Name, InFlight: r.state.InFlight(), Waiting: r.state.Waiting(), Loaded: r.state.LoadedNames(),
+		Frozen: !ok, Left: r.engineLeaving, RateRefused: r.state.rateLimiter.Refused(),
+	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.status = st
--- a/internal/owner/runner_test.go
+++ b/internal/owner/runner_test.go
@@ -38,9 +38,9 @@
 	return engine.Report{Incarnation: "e", BaseModels: []string{"base"}}, nil
 }
 
-// TestEngineThatIsNotThere checks that an engine gets no requests from the time when an order was refused because the engine does not
-// exist until the next report arrives.
-func TestEngineThatIsNotThere(t *testing.T) {
+// TestEngineNotFoundGetsNoRequests checks that an engine gets no requests from the time when an order was refused because the
+// engine does not exist until the next report arrives.
+func TestEngineNotFoundGetsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		e := &replacedEngine{}
--- a/internal/owner/set.go
+++ b/internal/owner/set.go
@@ -21,8 +21,8 @@
 const (
 	// defaultMaxQueue is the queue limit of an engine whose base model has no serving configuration.
 	defaultMaxQueue = 256
-	// packBelow is the stall weight below which full engine steps are preferred to an early start of requests of urgency 0.
-	packBelow = 50
+	// packStallWeight is the stall weight below which full engine steps are preferred to an early start of requests of urgency 0.
+	packStallWeight = 50
 )
 
 // SetConfig configures a Set.
@@ -38,7 +38,8 @@
 	Loads loads.Source
 	// BaseLoads grants permits for base model loads.
 	BaseLoads loads.Source
-	// PrefillRate is the initial estimate of an engine's prefill rate in tokens per second. Zero leaves prompts out of the expected wait.
+	// PrefillRate is the initial estimate of an engine's prefill rate in tokens per second. Zero leaves prompts out of the expected
+	// wait.
 	PrefillRate float64
 	Policy      policy.Policy
 	// Authority reports whether this box may send orders to an engine now, and under which epoch.
@@ -57,32 +58,32 @@
 	Serving *resource.Serving
 }
 
-// terms is the part of a Runner's configuration that operators declare.
-type terms struct {
+// declaredSettings is the part of a Runner's configuration that operators declare.
+type declaredSettings struct {
 	engine   resource.Engine
 	maxQueue int
 	pack     bool
 }
 
-func (d Declared) terms() terms {
+func (d Declared) settings() declaredSettings {
 	if d.Serving == nil {
-		return terms{engine: d.Engine, maxQueue: defaultMaxQueue}
+		return declaredSettings{engine: d.Engine, maxQueue: defaultMaxQueue}
 	}
-	return terms{engine: d.Engine, maxQueue: d.Serving.MaxQueue, pack: d.Serving.StallWeight < packBelow}
+	return declaredSettings{engine: d.Engine, maxQueue: d.Serving.MaxQueue, pack: d.Serving.StallWeight < packStallWeight}
 }
 
-// owned is an engine that this box owns, or owned before and still runs requests on.
-type owned struct {
+// ownedEngine is an engine that this box owns, or a former one on which this box still has requests or orders in flight.
+type ownedEngine struct {
 	runner *Runner
 	token  suture.ServiceToken
-	// terms is the configuration with which the runner was started.
-	terms terms
+	// settings is the configuration with which the runner was started.
+	settings declaredSettings
 	// epoch is the epoch of the ownership grant.
 	epoch uint64
-	// settled is true once the runner may unload adapters taken over from the previous owner.
-	settled bool
-	// closed is true if the engine's box is leaving.
-	closed bool
+	// takeoverDone is true once the runner may unload adapters taken over from the previous owner.
+	takeoverDone bool
+	// boxLeaving is true if the engine's box is leaving.
+	boxLeaving bool
 }
 
 // Set manages the Runners of the engines that this box owns.
@@ -90,13 +91,13 @@
 	cfg SetConfig
 	// mu guards the fields below.
 	mu    sync.Mutex
-	owned map[string]*owned
+	owned map[string]*ownedEngine
 	// draining holds the engines that this box no longer owns but whose Runners still have requests or orders in flight.
-	draining []*owned
+	draining []*ownedEngine
 }
 
 // NewSet returns an empty Set.
-func NewSet(cfg SetConfig) *Set { return &Set{cfg: cfg, owned: map[string]*owned{}} }
+func NewSet(cfg SetConfig) *Set { return &Set{cfg: cfg, owned: map[string]*ownedEngine{}} }
 
 // Get returns the Runner of an owned engine.
 func (s *Set) Get(name string) (*Runner, bool) {
@@ -119,98 +120,99 @@
 	}
 	for name, o := range s.owned {
 		if granted[name].Epoch != o.epoch {
-			s.lose(name, o)
+			s.drain(name, o)
 		}
 	}
 	for _, g := range grants {
-		s.hold(g)
+		s.ensureRunner(g)
 	}
 	for _, name := range release {
 		if o, ok := s.owned[name]; ok {
 			o.runner.Stop()
 		}
 	}
-	s.sweep()
+	s.removeDrained()
 }
 
-// hold ensures that the Runner of a granted engine runs with the current configuration. It also informs the Runner whether the engine's
-// box is leaving and when the adapters of the previous owner may be unloaded.
-func (s *Set) hold(g coordinator.Ownership) {
+// ensureRunner ensures that the Runner of a granted engine runs with the current configuration. It also informs the Runner
+// whether the engine's box is leaving and when the adapters of the previous owner may be unloaded.
+func (s *Set) ensureRunner(g coordinator.Ownership) {
 	o, ok := s.owned[g.Engine]
-	if ok && (o.runner.ended() || s.redeclared(g.Engine, o)) {
-		s.lose(g.Engine, o)
+	if ok && (o.runner.hasEnded() || s.hasNewSettings(g.Engine, o)) {
+		s.drain(g.Engine, o)
 		ok = false
 	}
 	if !ok {
-		if o = s.start(g); o == nil {
+		if o = s.startRunner(g); o == nil {
 			return
 		}
 	}
-	if leaving := s.cfg.Leaving(g.Engine); leaving != o.closed {
-		o.closed = leaving
-		o.runner.Close(leaving)
+	if leaving := s.cfg.Leaving(g.Engine); leaving != o.boxLeaving {
+		o.boxLeaving = leaving
+		o.runner.SetBoxLeaving(leaving)
 	}
-	if !o.settled && s.isSettled(g, o) {
-		o.settled = true
-		o.runner.Settle()
+	if !o.takeoverDone && s.canFinishTakeover(g, o) {
+		o.takeoverDone = true
+		o.runner.FinishTakeover()
 	}
 }
 
-// isSettled reports whether the adapters that were loaded when the engine was taken over may be unloaded. This is allowed as soon as
-// the previous owner has no requests in flight, and at once on an engine that finishes the runs of an adapter before it unloads the
-// adapter. Delaying the unloads there brings no benefit: 8 s without evictions after each takeover cost 0.09 to 0.14 of a site's
-// score, and 1.5 s and 3 s gained nothing.
-func (s *Set) isSettled(g coordinator.Ownership, o *owned) bool {
-	return o.terms.engine.FinishesFirst || (g.Previous == "" && !s.drains(g.Engine))
+// canFinishTakeover reports whether the adapters that were loaded when the engine was taken over may be unloaded. This is allowed
+// as soon as the previous owner has no requests in flight, and at once on an engine that finishes the runs of an adapter before
+// it unloads the adapter. Delaying the unloads there brings no benefit: 8 s without evictions after each takeover cost 0.09 to
+// 0.14 of a site's score, and 1.5 s and 3 s gained nothing.
+func (s *Set) canFinishTakeover(g coordinator.Ownership, o *ownedEngine) bool {
+	return o.settings.engine.FinishesFirst || (g.Previous == "" && !s.isDraining(g.Engine))
 }
 
-// redeclared reports whether the declared configuration of an engine has changed since its Runner started.
-func (s *Set) redeclared(name string, o *owned) bool {
+// hasNewSettings reports whether the declared configuration of an engine has changed since its Runner started.
+func (s *Set) hasNewSettings(name string, o *ownedEngine) bool {
 	now, ok := s.cfg.Lookup(name)
-	return ok && now.terms() != o.terms
+	return ok && now.settings() != o.settings
 }
 
-// drains reports whether a former Runner of this box still has requests or orders in flight on the engine.
-func (s *Set) drains(engine string) bool {
-	return slices.ContainsFunc(s.draining, func(o *owned) bool { return o.runner.cfg.Name == engine })
+// isDraining reports whether a former Runner of this box still has requests or orders in flight on the engine.
+func (s *Set) isDraining(engine string) bool {
+	return slices.ContainsFunc(s.draining, func(o *ownedEngine) bool { return o.runner.cfg.Name == engine })
 }
 
-// start starts a Runner for a granted engine. It returns nil if the engine is not declared.
-func (s *Set) start(g coordinator.Ownership) *owned {
+// startRunner starts a Runner for a granted engine. It returns nil if the engine is not declared.
+func (s *Set) startRunner(g coordinator.Ownership) *ownedEngine {
 	declared, ok := s.cfg.Lookup(g.Engine)
 	if !ok {
 		return nil
 	}
-	t := declared.terms()
+	settings := declared.settings()
 	name := g.Engine
 	cfg := RunnerConfig{
-		Name: name, Engine: t.engine, MaxQueue: t.maxQueue, Pack: t.pack, Client: s.cfg.Client, Loads: s.cfg.Loads, BaseLoads: s.cfg.BaseLoads, Scope: s.cfg.Scope,
+		Name: name, Engine: settings.engine, MaxQueue: settings.maxQueue, Pack: settings.pack,
+		Client: s.cfg.Client, Loads: s.cfg.Loads, BaseLoads: s.cfg.BaseLoads, Scope: s.cfg.Scope,
 		PrefillRate: s.cfg.PrefillRate, Policy: s.cfg.Policy,
-		Authority: func(now time.Time) (uint64, bool) { return s.cfg.Authority(name, now) },
-		Rate:      s.cfg.Rates.Word(clock.Now(), name, t.engine.Started),
-		Left:      s.cfg.Notices.Leaves(clock.Now(), notice.Endpoint{Name: name, Started: t.engine.Started}),
-		Notices:   s.cfg.Notices,
+		Authority:     func(now time.Time) (uint64, bool) { return s.cfg.Authority(name, now) },
+		Rate:          s.cfg.Rates.Word(clock.Now(), name, settings.engine.Started),
+		EngineLeaving: s.cfg.Notices.Leaves(clock.Now(), notice.Endpoint{Name: name, Started: settings.engine.Started}),
+		Notices:       s.cfg.Notices,
 	}
 	r := NewRunner(cfg)
-	o := &owned{runner: r, epoch: g.Epoch, terms: t}
+	o := &ownedEngine{runner: r, epoch: g.Epoch, settings: settings}
 	o.token = s.cfg.Supervisor.Add(r)
 	s.owned[cfg.Name] = o
 	klog.InfoS("engine ownership acquired", "engine", name, "epoch", g.Epoch, "previous", g.Previous)
 	return o
 }
 
-// lose stops the Runner of an engine that this box no longer owns, or whose Runner must be replaced.
-func (s *Set) lose(name string, o *owned) {
+// drain stops the Runner of an engine that this box no longer owns, or whose Runner must be replaced.
+func (s *Set) drain(name string, o *ownedEngine) {
 	o.runner.Stop()
 	klog.InfoS("engine ownership released", "engine", name, "epoch", o.epoch, "in_flight", o.runner.InFlight())
 	delete(s.owned, name)
 	s.draining = append(s.draining, o)
 }
 
-// sweep removes the former Runners that have no requests or orders in flight anymore.
-func (s *Set) sweep() {
-	s.draining = slices.DeleteFunc(s.draining, func(o *owned) bool {
-		if o.runner.InFlight() > 0 || (!o.runner.Stopped() && !o.runner.ended()) {
+// removeDrained removes the former Runners that have no requests or orders in flight anymore.
+func (s *Set) removeDrained() {
+	s.draining = slices.DeleteFunc(s.draining, func(o *ownedEngine) bool {
+		if o.runner.InFlight() > 0 || (!o.runner.Stopped() && !o.runner.hasEnded()) {
 			return false
 		}
 		// Remove fails only if the supervisor no longer has the Runner.
@@ -224,7 +226,7 @@
 func (s *Set) Released() (released, draining []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sweep()
+	s.removeDrained()
 	for name, o := range s.owned {
 		if o.runner.Stopped() {
 			released = append(released, name)
--- a/internal/owner/state.go
+++ b/internal/owner/state.go
@@ -13,26 +13,32 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Defaults of Config.
+// Defaults and limits of a State.
 const (
 	defaultHalfLife = 10 * time.Minute
 	// defaultLoadTime is the expected load time of an adapter until a load has been observed. Engines load an adapter in 250 ms.
-	defaultLoadTime    = 280 * time.Millisecond
-	defaultBackoff     = time.Second
-	maxBackoff         = time.Minute
-	brokenLinger       = 5 * time.Second
-	loadTimeSmoothing  = 0.2
-	maxRememberedRates = 4096
-	packHold           = time.Minute
-	// crowdedShare is the divisor of the batch size that gives the number of tickets ahead at which a full engine counts as crowded.
-	crowdedShare = 4
-	// maxAsked is the maximum number of pending permit requests.
-	maxAsked = 8
-	// unloadPause is the minimum time between a failed unload and the next unload. Without this pause a box that had lost its authority
-	// created 16,000 unload orders per second, refused each order itself, and had no CPU time left to apply a new configuration.
+	defaultLoadTime = 280 * time.Millisecond
+	defaultBackoff  = time.Second
+	maxBackoff      = time.Minute
+	// brokenRunLinger is the time for which an engine may continue a run whose answer broke off.
+	brokenRunLinger = 5 * time.Second
+	// loadTimeSmoothing is the weight of the newest load in the mean load time.
+	loadTimeSmoothing = 0.2
+	// maxUseRates is the maximum number of adapters whose use rate is stored.
+	maxUseRates = 4096
+	// maxPackDelay is the longest time for which Config.Pack delays a ticket.
+	maxPackDelay = time.Minute
+	// crowdedDivisor is the divisor of the batch size that gives the number of tickets ahead at which a full engine counts as
+	// crowded.
+	crowdedDivisor = 4
+	// maxPermitRequests is the maximum number of pending permit requests.
+	maxPermitRequests = 8
+	// unloadPause is the minimum time between a failed unload and the next unload. Without this pause a box that had lost its
+	// authority created 16,000 unload orders per second, refused each order itself, and had no CPU time left to apply a new
+	// configuration.
 	unloadPause = 200 * time.Millisecond
-	// doubtTime is the time in which an engine may still carry out an unanswered order. Engines took up to 12 s.
-	doubtTime = 15 * time.Second
+	// uncertainLoadTime is the time in which an engine may still carry out an unanswered order. Engines took up to 12 s.
+	uncertainLoadTime = 15 * time.Second
 )
 
 // Config configures a State.
@@ -43,7 +49,7 @@
 	Batch int
 	// MaxQueue is the maximum number of waiting tickets.
 	MaxQueue int
-	// Pack delays tickets of urgency 0 until urgent tickets run, for at most packHold. This fills the engine's steps better.
+	// Pack delays tickets of urgency 0 until urgent tickets run, for at most maxPackDelay. This fills the engine's steps better.
 	Pack bool
 	// HalfLife is the time in which the weight of a past use falls by half.
 	HalfLife time.Duration
@@ -52,15 +58,15 @@
 	// PrefillRate is the initial estimate of the engine's prefill rate in prompt tokens per second. Observed rates replace it. Zero
 	// leaves prompts out of the expected wait.
 	PrefillRate float64
-	// FinishesFirst is true if the engine finishes the runs of an adapter before it unloads or replaces the adapter, and if loading a
-	// version of an adapter replaces its other versions.
+	// FinishesFirst is true if the engine finishes the runs of an adapter before it unloads or replaces the adapter, and if loading
+	// a version of an adapter replaces its other versions.
 	FinishesFirst bool
 	// AwaitReport delays loads until Adopt has been called with the loaded adapters.
 	AwaitReport bool
 	// Policy selects the enabled mechanisms.
 	Policy policy.Policy
-	// Worth returns the value of keeping an idle adapter loaded. The adapter with the lowest value is unloaded first. If Worth is nil,
-	// the use rate of the adapter is the value. Only benchmarks of eviction policies set it.
+	// Worth returns the value of keeping an idle adapter loaded. The adapter with the lowest value is unloaded first. If Worth is
+	// nil, the use rate of the adapter is the value. Only benchmarks of eviction policies set it.
 	Worth func(ref resource.Ref, now time.Time) float64
 }
 
@@ -70,32 +76,32 @@
 	loading phase = iota
 	loaded
 	unloading
-	// doubtful means that a load got no answer. The engine may have loaded the adapter or may still load it.
-	doubtful
+	// uncertain means that a load got no answer. The engine may have loaded the adapter or may still load it.
+	uncertain
 )
 
 // slot is an adapter that occupies one of the engine's slots.
 type slot struct {
 	ref   resource.Ref
 	phase phase
-	// doubtUntil is the time until which the engine may still carry out an unanswered load.
-	doubtUntil time.Time
-	// next is the load to start once this adapter is unloaded.
-	next *Load
-	// foreign is true if the previous owner may have requests in flight on the adapter.
-	foreign bool
-	// loadAt and readyAt are the start and end of the load. Both are zero for an adopted adapter.
-	loadAt  time.Time
-	readyAt time.Time
+	// uncertainUntil is the time until which the engine may still carry out an unanswered load.
+	uncertainUntil time.Time
+	// nextLoad is the load to start once this adapter is unloaded.
+	nextLoad *Load
+	// inherited is true if the previous owner may have requests in flight on the adapter.
+	inherited bool
+	// loadStarted and loadedAt are the start and end of the load. Both are zero for an adopted adapter.
+	loadStarted time.Time
+	loadedAt    time.Time
 }
 
-// started is a running ticket.
-type started struct {
+// runningTicket holds the data of a running ticket that are needed when the ticket ends.
+type runningTicket struct {
 	// slot is nil if the ticket runs on the base model.
-	slot    *slot
-	urgency int
-	tokens  int
-	at      time.Time
+	slot      *slot
+	urgency   int
+	tokens    int
+	startedAt time.Time
 }
 
 // State is the decision state of one engine. It is not safe for concurrent use.
@@ -103,49 +109,49 @@
 	cfg     Config
 	slots   map[resource.Ref]*slot
 	waiting []Ticket
-	// wanted counts the waiting tickets of each adapter.
-	wanted  map[resource.Ref]int
-	running map[uint64]started
-	// lingers holds, for each adapter, the time until which the engine may still execute a run whose answer broke off.
-	lingers map[resource.Ref]time.Time
+	// waiters counts the waiting tickets of each adapter.
+	waiters map[resource.Ref]int
+	running map[uint64]runningTicket
+	// lingerUntil holds, for each adapter, the time until which the engine may still execute a run whose answer broke off.
+	lingerUntil map[resource.Ref]time.Time
 	// uses counts the running tickets of each adapter. An adapter with running tickets may not be unloaded. The count is kept apart
 	// from the slot so that it includes the tickets that started before the adapter was loaded again into a new slot.
 	uses map[resource.Ref]int
-	// urgent counts the running tickets with an urgency above 0.
-	urgent   int
-	rates    map[resource.Ref]rate
-	failures map[resource.Ref]failure
-	// loadTime is the mean load time at the time loadSeen.
-	loadTime time.Duration
-	// loadSeen is when the last observed load ended.
-	loadSeen time.Time
-	// runTime is the mean time from the start of a run to its end.
-	runTime time.Duration
-	// asked holds the urgency of each pending permit request.
-	asked map[resource.Ref]int
+	// urgentRunning counts the running tickets with an urgency above 0.
+	urgentRunning int
+	useRates      map[resource.Ref]useRate
+	failures      map[resource.Ref]failure
+	// meanLoadTime is the mean load time at the time lastLoadAt.
+	meanLoadTime time.Duration
+	// lastLoadAt is the end of the last observed load.
+	lastLoadAt time.Time
+	// meanRunTime is the mean time from the start of a run to its end.
+	meanRunTime time.Duration
+	// permitRequests holds the urgency of each pending permit request.
+	permitRequests map[resource.Ref]int
 	// stopped is true if the engine is being handed over.
 	stopped bool
 	// closed is true while the engine accepts no tickets, for example because its box is leaving.
 	closed bool
-	// blind is true until the first report shows the loaded adapters.
-	blind bool
-	// tokens is the total number of tokens of the running tickets.
-	tokens  int
-	reading *reading
-	lately  lately
-	// rate enforces the engine's rate limit. Each request to the engine needs a grant from its owner anyway, so that enforcing the
-	// limit here needs no extra messages, and the limit also applies to boxes that do not know it.
-	rate ratelimit.Limiter
+	// awaitingReport is true until the first report shows the loaded adapters.
+	awaitingReport bool
+	// runningTokens is the total number of tokens of the running tickets.
+	runningTokens    int
+	prefill          *prefillTracker
+	recentlyUnloaded recentAdapters
+	// rateLimiter enforces the engine's rate limit. Each request to the engine needs a grant from its owner anyway, so that
+	// enforcing the limit here needs no extra messages, and the limit also applies to boxes that do not know it.
+	rateLimiter ratelimit.Limiter
 	// unloadFrom is the earliest time of the next unload after a failed unload.
 	unloadFrom time.Time
-	// out holds the actions to return to the caller.
-	out []Action
+	// actions holds the actions to return to the caller.
+	actions []Action
 }
 
-// rate is a decaying count of uses as of the time at.
-type rate struct {
-	value float64
-	at    time.Time
+// useRate is a decaying count of uses of an adapter. The count is valid for the time updatedAt and decays from then on.
+type useRate struct {
+	count     float64
+	updatedAt time.Time
 }
 
 // failure counts consecutive failed loads of an adapter, which must not be loaded again before until.
@@ -160,32 +166,33 @@
 		cfg.HalfLife = defaultHalfLife
 	}
 	return &State{
-		cfg: cfg, slots: map[resource.Ref]*slot{}, running: map[uint64]started{},
-		uses: map[resource.Ref]int{}, lingers: map[resource.Ref]time.Time{},
-		rates: map[resource.Ref]rate{}, failures: map[resource.Ref]failure{},
-		asked: map[resource.Ref]int{}, wanted: map[resource.Ref]int{},
-		loadTime: defaultLoadTime, runTime: defaultRunTime,
-		blind: cfg.AwaitReport, lately: lately{most: latelyPerSlot * cfg.Slots},
-		reading: newReading(cfg.PrefillRate, cfg.KVTokens, cfg.Policy),
+		cfg: cfg, slots: map[resource.Ref]*slot{}, running: map[uint64]runningTicket{},
+		uses: map[resource.Ref]int{}, lingerUntil: map[resource.Ref]time.Time{},
+		useRates: map[resource.Ref]useRate{}, failures: map[resource.Ref]failure{},
+		permitRequests: map[resource.Ref]int{}, waiters: map[resource.Ref]int{},
+		meanLoadTime: defaultLoadTime, meanRunTime: defaultRunTime,
+		awaitingReport: cfg.AwaitReport, recentlyUnloaded: recentAdapters{limit: recentPerSlot * cfg.Slots},
+		prefill: newPrefillTracker(cfg.PrefillRate, cfg.KVTokens, cfg.Policy),
 	}
 }
 
-// Adopt records that the engine has already loaded refs. If foreign is true, they are not unloaded before Settle is called.
-func (s *State) Adopt(refs []resource.Ref, foreign bool) {
-	s.blind = false
+// Adopt records that the engine has already loaded refs. If inherited is true, they are not unloaded before FinishTakeover
+// is called.
+func (s *State) Adopt(refs []resource.Ref, inherited bool) {
+	s.awaitingReport = false
 	for _, r := range refs {
-		if sl := s.slots[r]; sl == nil || sl.phase == doubtful {
-			s.slots[r] = &slot{ref: r, phase: loaded, foreign: foreign}
+		if sl := s.slots[r]; sl == nil || sl.phase == uncertain {
+			s.slots[r] = &slot{ref: r, phase: loaded, inherited: inherited}
 		}
 	}
 }
 
-// Settle allows the unloading of foreign adapters, because the previous owner has no requests in flight anymore.
-func (s *State) Settle(now time.Time) []Action {
+// FinishTakeover allows the unloading of inherited adapters, because the previous owner has no requests in flight anymore.
+func (s *State) FinishTakeover(now time.Time) []Action {
 	for _, sl := range s.slots {
-		sl.foreign = false
+		sl.inherited = false
 	}
-	return s.flush(now)
+	return s.schedule(now)
 }
 
 // Restarted removes all loaded adapters, because the engine has restarted and is empty.
@@ -195,22 +202,23 @@
 			delete(s.slots, ref)
 		}
 	}
-	s.reading.restarted()
-	s.rate.Forget()
-	return s.flush(now)
+	s.prefill.clearCache()
+	s.rateLimiter.Forget()
+	return s.schedule(now)
 }
 
-// Read records that the first token of a running ticket has arrived, which means that the engine has processed its prompt.
-func (s *State) Read(now time.Time, id uint64) { s.reading.read(now, id) }
+// RecordFirstToken records that the first token of a running ticket has arrived, which means that the engine has processed its
+// prompt.
+func (s *State) RecordFirstToken(now time.Time, id uint64) { s.prefill.finish(now, id) }
 
-// Knows reports whether ref occupies a slot or will be loaded when an unload ends.
-func (s *State) Knows(ref resource.Ref) bool {
+// IsTracked reports whether ref occupies a slot or will be loaded when an unload ends.
+func (s *State) IsTracked(ref resource.Ref) bool {
 	sl := s.slots[ref]
-	return (sl != nil && sl.phase != doubtful) || s.onItsWay(ref)
+	return (sl != nil && sl.phase != uncertain) || s.isNextLoad(ref)
 }
 
-// Held returns the loaded adapters in random order.
-func (s *State) Held() []resource.Ref {
+// LoadedRefs returns the loaded adapters in no particular order.
+func (s *State) LoadedRefs() []resource.Ref {
 	var refs []resource.Ref
 	for ref, sl := range s.slots {
 		if sl.phase == loaded {
@@ -220,24 +228,24 @@
 	return refs
 }
 
-// Lost removes adapters that the engine no longer has. Adapters in use are kept, since the results of their runs show whether they are
-// still loaded.
-func (s *State) Lost(now time.Time, refs []resource.Ref) []Action {
+// RemoveLost removes adapters that the engine no longer has. Adapters in use are kept, since the results of their runs show
+// whether they are still loaded.
+func (s *State) RemoveLost(now time.Time, refs []resource.Ref) []Action {
 	for _, ref := range refs {
 		if sl := s.slots[ref]; sl != nil && sl.phase == loaded && s.uses[ref] == 0 {
 			delete(s.slots, ref)
 		}
 	}
-	return s.flush(now)
+	return s.schedule(now)
 }
 
 // Cancel ends a ticket whose caller has left before it received the decision on the ticket.
 func (s *State) Cancel(now time.Time, id uint64) []Action {
-	s.keep(func(t Ticket) bool {
+	s.retainWaiting(func(t Ticket) bool {
 		if t.ID != id {
 			return true
 		}
-		s.unrate(t)
+		s.returnRate(t)
 		return false
 	})
 	return s.Done(now, id, EndWhole)
@@ -262,64 +270,64 @@
 func (s *State) Done(now time.Time, id uint64, end End) []Action {
 	st, ok := s.running[id]
 	if !ok {
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	delete(s.running, id)
-	s.tokens -= st.tokens
-	s.reading.drop(id)
+	s.runningTokens -= st.tokens
+	s.prefill.remove(id)
 	if end == EndWhole {
-		s.runTime += time.Duration(runTimeSmoothing * float64(now.Sub(st.at)-s.runTime))
+		s.meanRunTime += time.Duration(runTimeSmoothing * float64(now.Sub(st.startedAt)-s.meanRunTime))
 	}
 	if st.urgency > 0 {
-		s.urgent--
+		s.urgentRunning--
 	}
 	sl := st.slot
 	if sl == nil {
-		return s.flush(now)
+		return s.schedule(now)
 	}
 	if s.uses[sl.ref]--; s.uses[sl.ref] == 0 {
 		delete(s.uses, sl.ref)
 	}
 	switch end {
 	case EndBroken:
-		s.lingers[sl.ref] = now.Add(brokenLinger)
+		s.lingerUntil[sl.ref] = now.Add(brokenRunLinger)
 	case EndNotLoaded:
 		if sl.phase == loaded && s.slots[sl.ref] == sl {
 			delete(s.slots, sl.ref)
 		}
 	case EndWhole, EndNotListening:
 	}
-	return s.flush(now)
+	return s.schedule(now)
 }
 
 // Stop refuses the waiting tickets and all further tickets, because the engine is being handed over. Running tickets continue.
 func (s *State) Stop(now time.Time) []Action {
 	s.stopped = true
-	s.keep(func(t Ticket) bool {
+	s.retainWaiting(func(t Ticket) bool {
 		s.refuse(t, result.New(result.NotOwner, "the engine is being handed over"))
 		return false
 	})
-	return s.flush(now)
+	return s.schedule(now)
 }
 
-// Close sets whether the engine accepts tickets. While closed is true, waiting and new tickets are refused so that they go to other
-// engines. Running tickets continue.
-func (s *State) Close(now time.Time, closed bool) []Action {
+// SetClosed sets whether the engine accepts tickets. While closed is true, waiting and new tickets are refused so that they go to
+// other engines. Running tickets continue.
+func (s *State) SetClosed(now time.Time, closed bool) []Action {
 	s.closed = closed
 	if closed {
-		s.keep(func(t Ticket) bool {
+		s.retainWaiting(func(t Ticket) bool {
 			s.refuse(t, result.New(result.TryNext, "the engine's box is leaving"))
 			return false
 		})
 	}
-	return s.flush(now)
+	return s.schedule(now)
 }
 
 // Tick applies the passage of time. In particular it refuses the tickets that can no longer start in time.
 func (s *State) Tick(now time.Time) []Action {
-	s.dropDoubts(now)
-	maps.DeleteFunc(s.lingers, func(_ resource.Ref, until time.Time) bool { return !now.Before(until) })
-	return s.flush(now)
+	s.expireUncertainLoads(now)
+	maps.DeleteFunc(s.lingerUntil, func(_ resource.Ref, until time.Time) bool { return !now.Before(until) })
+	return s.schedule(now)
 }
 
 // InFlight returns the number of running tickets.
@@ -328,10 +336,10 @@
 // Waiting returns the number of waiting tickets.
 func (s *State) Waiting() int { return len(s.waiting) }
 
-// Holds reports whether ref is loaded. The base model counts as loaded once the loaded adapters are known.
-func (s *State) Holds(ref resource.Ref) bool {
+// IsLoaded reports whether ref is loaded. The base model counts as loaded once the loaded adapters are known.
+func (s *State) IsLoaded(ref resource.Ref) bool {
 	if ref.IsBase() {
-		return !s.blind
+		return !s.awaitingReport
 	}
 	sl := s.slots[ref]
 	return sl != nil && sl.phase == loaded
@@ -340,11 +348,11 @@
 // LoadedNames returns the names of the loaded adapters in sorted order.
 func (s *State) LoadedNames() []string {
 	names := make([]string, 0, len(s.slots))
-	for _, ref := range s.Held() {
+	for _, ref := range s.LoadedRefs() {
 		names = append(names, ref.String())
 	}
 	slices.Sort(names)
 	return names
 }
 
-func (s *State) emit(a Action) { s.out = append(s.out, a) }
+func (s *State) emit(a Action) { s.actions = append(s.actions, a) }
--- a/internal/owner/state_test.go
+++ b/internal/owner/state_test.go
@@ -32,7 +32,7 @@
 			return s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: later})
 		}, result.NotOwner},
 		{"the box is leaving", func(s *owner.State) []owner.Action {
-			s.Close(now, true)
+			s.SetClosed(now, true)
 			return s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: later})
 		}, result.TryNext},
 		{"the load failed", func(s *owner.State) []owner.Action {
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestUrgentGoesFirst checks that an urgent ticket displaces a ticket of urgency 0 from a full queue and starts before the others.
-func TestUrgentGoesFirst(t *testing.T) {
+// TestUrgentTicketStartsFirst checks that an urgent ticket displaces a ticket of urgency 0 from a full queue and starts before
+// the others.
+func TestUrgentTicketStartsFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := owner.New(owner.Config{Slots: 1, Batch: 1, MaxQueue: 2})
@@ -85,9 +86,11 @@
 	c.Check(started.Ticket.ID, qt.Equals, uint64(4))
 }
 
-// discovered returns the state of a discovered engine that has reported no loaded adapters.
-func discovered(slots int) *owner.State {
-	s := owner.New(owner.Config{Slots: slots, Batch: 4, MaxQueue: 16, FinishesFirst: true, AwaitReport: true, PrefillRate: 1000, KVTokens: 1000})
+// newDiscoveredState returns the state of a discovered engine that has reported no loaded adapters.
+func newDiscoveredState(slots int) *owner.State {
+	s := owner.New(owner.Config{
+		Slots: slots, Batch: 4, MaxQueue: 16, FinishesFirst: true, AwaitReport: true, PrefillRate: 1000, KVTokens: 1000,
+	})
 	s.Adopt(nil, false)
 	return s
 }
--- a/internal/owner/uses_test.go
+++ b/internal/owner/uses_test.go
@@ -10,19 +10,19 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestRunsKeepAnAdapterThatWasLoadedAnew checks that an adapter is not unloaded while a run that started before a reload is still in
-// progress. In the failure, the engine reported for one request that the adapter was not loaded, while another request still ran on it.
-// The adapter was loaded again. The older run was only counted in the removed slot, so the adapter was unloaded during that run.
-// TestStateAlwaysHolds found this failure.
-func TestRunsKeepAnAdapterThatWasLoadedAnew(t *testing.T) {
+// TestReloadedAdapterIsKeptForEarlierRuns checks that an adapter is not unloaded while a run that started before a reload is
+// still in progress. TestStateInvariants once found this failure: the engine reported for one request that the adapter was not
+// loaded, while another request still ran on it. The adapter was loaded again. The older run was counted only in the removed
+// slot, so the adapter was unloaded during that run.
+func TestReloadedAdapterIsKeptForEarlierRuns(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// before is true if the older run ends before the adapter is loaded again.
-		before bool
+		// endsBeforeLoad is true if the older run ends before the adapter is loaded again.
+		endsBeforeLoad bool
 		// end is the way in which the older run ends.
 		end owner.End
-		// waited is the time from the end of the older run to the permit for another adapter.
-		waited time.Duration
+		// wait is the time from the end of the older run to the permit for another adapter.
+		wait time.Duration
 		// unloads is the number of unloads that follow from the permit.
 		unloads int
 	}{
@@ -44,7 +44,7 @@
 				c.Assert(actionsOf[owner.Start](s.Submit(now, ticket(id+1, ref(1)))), qt.HasLen, 1)
 			}
 			s.Done(now, 1, owner.EndNotLoaded)
-			if tt.before {
+			if tt.endsBeforeLoad {
 				s.Done(now, 2, tt.end)
 			}
 			s.Submit(now, ticket(3, ref(1)))
@@ -52,11 +52,11 @@
 			s.Loaded(now, ref(1), nil)
 			s.Done(now, 3, owner.EndWhole)
 			s.Submit(now, ticket(4, ref(2)))
-			if !tt.before {
+			if !tt.endsBeforeLoad {
 				c.Assert(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, 0, qt.Commentf("the older run is still in progress"))
 				s.Done(now, 2, tt.end)
 			}
-			now = now.Add(tt.waited)
+			now = now.Add(tt.wait)
 			c.Check(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, tt.unloads)
 		})
 	}
--- a/internal/owner/wait.go
+++ b/internal/owner/wait.go
@@ -16,15 +16,15 @@
 	runTimeSmoothing = 0.05
 )
 
-// turnWait returns the expected wait for room in the batch and in the KV cache. The estimate assumes that the running tickets end one
-// after another at even intervals, and that all of them end within the mean run time.
-func (s *State) turnWait(t Ticket, ahead, tokensAhead int) time.Duration {
-	before := len(s.running) + ahead
-	turns := max(0, before+1-s.cfg.Batch)
-	if turns == 0 && before > 0 && !s.fitsCache(s.tokens+tokensAhead+t.Prompt+t.Output) {
+// batchWait returns the expected wait for room in the batch and in the KV cache. The estimate assumes that the running tickets
+// end one after another at even intervals, and that all of them end within the mean run time.
+func (s *State) batchWait(t Ticket, ahead, tokensAhead int) time.Duration {
+	total := len(s.running) + ahead
+	turns := max(0, total+1-s.cfg.Batch)
+	if turns == 0 && total > 0 && !s.fitsCache(s.runningTokens+tokensAhead+t.Prompt+t.Output) {
 		turns = 1
 	}
-	return s.runTime * time.Duration(turns) / time.Duration(max(1, min(before, s.cfg.Batch)))
+	return s.meanRunTime * time.Duration(turns) / time.Duration(max(1, min(total, s.cfg.Batch)))
 }
 
 // fitsCache reports whether the KV cache has room for a total number of tokens.
@@ -32,13 +32,13 @@
 	return s.cfg.KVTokens == 0 || tokens <= s.cfg.KVTokens
 }
 
-// fits reports whether the engine has room to start a ticket. A ticket that is larger than the whole KV cache may start on an idle
-// engine, which then refuses the request itself.
-func (s *State) fits(t Ticket) bool {
+// hasRoom reports whether the engine has room to start a ticket. A ticket that is larger than the whole KV cache may start on an
+// idle engine, which then refuses the request itself.
+func (s *State) hasRoom(t Ticket) bool {
 	if len(s.running) >= s.cfg.Batch {
 		return false
 	}
-	return s.tokens == 0 || s.fitsCache(s.tokens+t.Prompt+t.Output)
+	return s.runningTokens == 0 || s.fitsCache(s.runningTokens+t.Prompt+t.Output)
 }
 
 // expectedWait returns the expected time until the first token of a ticket, which is when the engine has processed its prompt.
@@ -52,27 +52,28 @@
 		prompts += w.Prompt
 		tokens += w.Prompt + w.Output
 	}
-	begun := max(s.reading.time(s.reading.backlog(now, t.Urgency)), s.loadWait(now, t))
-	return begun + s.turnWait(t, ahead, tokens) + s.reading.time(prompts+s.reading.tokens(t))
+	startWait := max(s.prefill.prefillTime(s.prefill.backlog(now, t.Urgency)), s.loadWait(now, t))
+	return startWait + s.batchWait(t, ahead, tokens) + s.prefill.prefillTime(prompts+s.prefill.uncachedTokens(t))
 }
 
 // loadWait returns the expected time until the adapter of a ticket is loaded.
 func (s *State) loadWait(now time.Time, t Ticket) time.Duration {
-	if s.Holds(t.Ref) {
+	if s.IsLoaded(t.Ref) {
 		return 0
 	}
 	expected := s.expectedLoadTime(now)
 	if sl := s.slots[t.Ref]; sl != nil && sl.phase == loading {
-		return max(0, expected-now.Sub(sl.loadAt))
+		return max(0, expected-now.Sub(sl.loadStarted))
 	}
-	if s.atHand(t.Ref) {
-		expected /= latelyFaster
+	if s.wasRecentlyUnloaded(t.Ref) {
+		expected /= recentLoadSpeedup
 	}
 	return s.slotWait(now, t) + expected
 }
 
-// slotWait returns the expected time until a slot is free for the adapter of a ticket. The estimate assumes that the slots in use become
-// free one after another at even intervals, all of them within the mean run time. Missing adapters of tickets ahead get slots first.
+// slotWait returns the expected time until a slot is free for the adapter of a ticket. The estimate assumes that the slots in use
+// become free one after another at even intervals, all of them within the mean run time. Missing adapters of tickets ahead get
+// slots first.
 func (s *State) slotWait(now time.Time, t Ticket) time.Duration {
 	if !s.cfg.Policy.On(policy.SlotWait) {
 		return 0
@@ -80,7 +81,7 @@
 	free, inUse := s.cfg.Slots-len(s.slots), 0
 	for _, sl := range s.slots {
 		switch {
-		case s.evictable(now, sl):
+		case s.isEvictable(now, sl):
 			free++
 		case s.uses[sl.ref] > 0:
 			inUse++
@@ -92,57 +93,57 @@
 		if w.Urgency < t.Urgency {
 			break
 		}
-		if !seen[w.Ref] && s.missing(now, w.Ref) {
+		if !seen[w.Ref] && s.isMissing(now, w.Ref) {
 			needed++
 		}
 		seen[w.Ref] = true
 	}
-	return s.runTime * time.Duration(max(0, needed-free)) / time.Duration(max(1, inUse))
+	return s.meanRunTime * time.Duration(max(0, needed-free)) / time.Duration(max(1, inUse))
 }
 
-// expectedLoadTime returns the mean observed load time, which decays towards defaultLoadTime. Without the decay, an engine with a few
-// slow loads would get no more loads, and its estimate could never improve.
+// expectedLoadTime returns the mean observed load time, which decays towards defaultLoadTime. Without the decay, an engine with a
+// few slow loads would get no more loads, and its estimate could never improve.
 func (s *State) expectedLoadTime(now time.Time) time.Duration {
 	if !s.cfg.Policy.On(policy.LoadTime) {
 		return defaultLoadTime
 	}
-	fade := math.Exp2(-float64(now.Sub(s.loadSeen)) / float64(loadTimeHalfLife))
-	return defaultLoadTime + time.Duration(fade*float64(s.loadTime-defaultLoadTime))
+	decay := math.Exp2(-float64(now.Sub(s.lastLoadAt)) / float64(loadTimeHalfLife))
+	return defaultLoadTime + time.Duration(decay*float64(s.meanLoadTime-defaultLoadTime))
 }
 
 const (
-	// loadTimeHalfLife is the time in which the difference between the mean load time and the default falls by half. Bursts of loads last
-	// a few seconds.
+	// loadTimeHalfLife is the time in which the difference between the mean load time and the default falls by half. Bursts of loads
+	// last a few seconds.
 	loadTimeHalfLife = 2 * time.Second
-	// latelyFaster is the factor by which an engine loads a recently unloaded adapter faster.
-	latelyFaster = 10
-	// latelyPerSlot is the number of recently unloaded adapters per slot that the engine is assumed to load faster.
-	latelyPerSlot = 5
+	// recentLoadSpeedup is the factor by which an engine loads a recently unloaded adapter faster.
+	recentLoadSpeedup = 10
+	// recentPerSlot is the number of recently unloaded adapters per slot that the engine is assumed to load faster.
+	recentPerSlot = 5
 )
 
-// tooSlow reports whether a ticket must be refused because it would wait longer than it accepts or because it does not accept a load
-// from the weight store.
-func (s *State) tooSlow(now time.Time, t Ticket) bool {
-	return t.Accept > 0 && ((t.Near && !s.near(t.Ref)) || s.expectedWait(now, t) > t.Accept)
+// isTooSlow reports whether a ticket must be refused because it would wait longer than it accepts or because it does not accept a
+// load from the weight store.
+func (s *State) isTooSlow(now time.Time, t Ticket) bool {
+	return t.MaxWait > 0 && ((t.LocalOnly && !s.isLocal(t.Ref)) || s.expectedWait(now, t) > t.MaxWait)
 }
 
-// atHand reports whether the engine unloaded the adapter recently, so that it can load the adapter quickly.
-func (s *State) atHand(ref resource.Ref) bool {
-	return s.cfg.Policy.On(policy.AtHand) && s.lately.has(ref)
+// wasRecentlyUnloaded reports whether the engine unloaded the adapter recently, so that it can load the adapter quickly.
+func (s *State) wasRecentlyUnloaded(ref resource.Ref) bool {
+	return s.cfg.Policy.On(policy.AtHand) && s.recentlyUnloaded.contains(ref)
 }
 
-// near reports whether a ticket for ref needs no further load from the weight store. This is so if the adapter is loaded, is being loaded,
-// is needed by a waiting ticket, or was unloaded recently.
-func (s *State) near(ref resource.Ref) bool {
-	return s.Holds(ref) || s.slots[ref] != nil || s.wanted[ref] > 0 || s.atHand(ref)
+// isLocal reports whether a ticket for ref needs no further load from the weight store. This is so if the adapter is loaded, is
+// being loaded, is needed by a waiting ticket, or was unloaded recently.
+func (s *State) isLocal(ref resource.Ref) bool {
+	return s.IsLoaded(ref) || s.slots[ref] != nil || s.waiters[ref] > 0 || s.wasRecentlyUnloaded(ref)
 }
 
-// sendOn refuses a ticket so that the caller tries its next engine. If the ticket has a longest accepted wait, the refusal contains the
-// expected wait, so that the caller can return to the engine with the shortest wait.
-func (s *State) sendOn(now time.Time, t Ticket) {
+// redirect refuses a ticket so that the caller tries its next engine. If the ticket has a longest accepted wait, the refusal
+// contains the expected wait, so that the caller can return to the engine with the shortest wait.
+func (s *State) redirect(now time.Time, t Ticket) {
 	err := result.New(result.TryNext, "another engine can start the request sooner")
-	if t.Accept > 0 {
-		if s.near(t.Ref) {
+	if t.MaxWait > 0 {
+		if s.isLocal(t.Ref) {
 			err.Code = result.Crowded
 		}
 		err.RetryAfter = max(time.Millisecond, s.expectedWait(now, t))
--- a/internal/owner/wait_test.go
+++ b/internal/owner/wait_test.go
@@ -16,29 +16,29 @@
 // expected wait for the first token.
 func TestExpectedWait(t *testing.T) {
 	now := time.Unix(1000, 0)
-	ask := func(prompt int, accept time.Duration) owner.Ticket {
-		return owner.Ticket{ID: 99, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: prompt, Accept: accept}
+	newTicket := func(prompt int, maxWait time.Duration) owner.Ticket {
+		return owner.Ticket{ID: 99, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: prompt, MaxWait: maxWait}
 	}
 	for _, tt := range []struct {
-		name string
-		busy int
-		ask  owner.Ticket
-		want time.Duration
+		name       string
+		busyTokens int
+		ticket     owner.Ticket
+		want       time.Duration
 	}{
-		{"free", 0, ask(100, 100*time.Millisecond), 0},
-		{"prompt takes longer than the accepted wait", 0, ask(101, 100*time.Millisecond), 101 * time.Millisecond},
-		{"prompt of 200 ms ahead", 200, ask(100, 299*time.Millisecond), 300 * time.Millisecond},
-		{"expected wait equals accepted wait", 200, ask(100, 300*time.Millisecond), 0},
-		{"cache is full until the running ticket ends", 950, ask(100, 100*time.Millisecond), (950 + 1000 + 100) * time.Millisecond},
+		{"free", 0, newTicket(100, 100*time.Millisecond), 0},
+		{"prompt takes longer than the accepted wait", 0, newTicket(101, 100*time.Millisecond), 101 * time.Millisecond},
+		{"prompt of 200 ms ahead", 200, newTicket(100, 299*time.Millisecond), 300 * time.Millisecond},
+		{"expected wait equals accepted wait", 200, newTicket(100, 300*time.Millisecond), 0},
+		{"cache is full until the running ticket ends", 950, newTicket(100, 100*time.Millisecond), (950 + 1000 + 100) * time.Millisecond},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := discovered(2)
+			s := newDiscoveredState(2)
 			s.Adopt([]resource.Ref{ref(1)}, false)
-			if tt.busy > 0 {
-				s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: tt.busy})
+			if tt.busyTokens > 0 {
+				s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: tt.busyTokens})
 			}
-			actions := s.Submit(now, tt.ask)
+			actions := s.Submit(now, tt.ticket)
 			if tt.want == 0 {
 				c.Check(actionsOf[owner.Start](actions), qt.HasLen, 1)
 				return
@@ -51,14 +51,17 @@
 	}
 }
 
-// TestExpectedWaitCountsTheQueue checks that with a full batch each waiting ticket adds the average time between the ends of two runs.
+// TestExpectedWaitCountsTheQueue checks that with a full batch each waiting ticket adds the average time between the ends of two
+// runs.
 func TestExpectedWaitCountsTheQueue(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := owner.New(owner.Config{Slots: 2, Batch: 4, MaxQueue: 100})
 	s.Adopt([]resource.Ref{ref(1)}, false)
-	submit := func(id uint64, accept time.Duration) []owner.Action {
-		return s.Submit(now, owner.Ticket{ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Accept: accept, Last: accept == 0})
+	submit := func(id uint64, maxWait time.Duration) []owner.Action {
+		return s.Submit(now, owner.Ticket{
+			ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), MaxWait: maxWait, Last: maxWait == 0,
+		})
 	}
 	id := uint64(0)
 	for range 200 {
@@ -75,20 +78,23 @@
 		refused := actionsOf[owner.Refuse](submit(1000, time.Millisecond))
 		c.Assert(refused, qt.HasLen, 1)
 		want := time.Duration(waiting+1) * 100 * time.Millisecond
-		c.Check((refused[0].Err.RetryAfter-want).Abs() < 2*time.Millisecond, qt.IsTrue, qt.Commentf("%d waiting: expected wait %v", waiting, refused[0].Err.RetryAfter))
+		c.Check((refused[0].Err.RetryAfter-want).Abs() < 2*time.Millisecond, qt.IsTrue,
+			qt.Commentf("%d waiting: expected wait %v", waiting, refused[0].Err.RetryAfter))
 		id++
 		submit(id, 0)
 	}
 }
 
-// TestExpectedWaitCountsThoseWhoWaitForALoad checks that tickets waiting for the load of the same adapter count towards the batch, which
-// they fill as soon as the adapter is loaded.
-func TestExpectedWaitCountsThoseWhoWaitForALoad(t *testing.T) {
+// TestExpectedWaitCountsTicketsWaitingForLoad checks that tickets waiting for the load of the same adapter count towards the
+// batch, which they fill as soon as the adapter is loaded.
+func TestExpectedWaitCountsTicketsWaitingForLoad(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := owner.New(owner.Config{Slots: 2, Batch: 4, MaxQueue: 100})
-	submit := func(id uint64, accept time.Duration) []owner.Action {
-		return s.Submit(now, owner.Ticket{ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Accept: accept, Last: accept == 0})
+	submit := func(id uint64, maxWait time.Duration) []owner.Action {
+		return s.Submit(now, owner.Ticket{
+			ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), MaxWait: maxWait, Last: maxWait == 0,
+		})
 	}
 	for id := range uint64(4) {
 		c.Assert(actionsOf[owner.Refuse](submit(id, 500*time.Millisecond)), qt.HasLen, 0, qt.Commentf("%d", id))
@@ -97,46 +103,50 @@
 	c.Check(refused, qt.HasLen, 1)
 }
 
-// TestSlowLoadsAreForgotten checks that the expected load time decays after slow loads, so that the engine gets loads again.
-func TestSlowLoadsAreForgotten(t *testing.T) {
+// TestSlowLoadEstimateDecays checks that the expected load time decays after slow loads, so that the engine gets loads again.
+func TestSlowLoadEstimateDecays(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
 	s := owner.New(owner.Config{Slots: 50, Batch: 50, MaxQueue: 100})
-	expected := func() time.Duration {
-		refused := actionsOf[owner.Refuse](s.Submit(now, owner.Ticket{ID: 1000, Ref: ref(99), Arrived: now, StartBy: now.Add(time.Minute), Accept: time.Millisecond}))
+	wait := func() time.Duration {
+		refused := actionsOf[owner.Refuse](s.Submit(now, owner.Ticket{
+			ID: 1000, Ref: ref(99), Arrived: now, StartBy: now.Add(time.Minute), MaxWait: time.Millisecond,
+		}))
 		c.Assert(refused, qt.HasLen, 1)
 		return refused[0].Err.RetryAfter
 	}
-	usual := expected()
+	usual := wait()
 	for i := range 20 {
 		s.Submit(now, owner.Ticket{ID: uint64(i), Ref: ref(i), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 		s.Granted(now, ref(i))
 		now = now.Add(2 * time.Second)
 		s.Loaded(now, ref(i), nil)
 	}
-	slow := expected()
+	slow := wait()
 	c.Check(slow > 2*usual, qt.IsTrue, qt.Commentf("expected wait %v, usually %v", slow, usual))
 	now = now.Add(10 * time.Second)
-	c.Check(expected() < usual+usual/5, qt.IsTrue, qt.Commentf("expected wait %v, usually %v", expected(), usual))
+	c.Check(wait() < usual+usual/5, qt.IsTrue, qt.Commentf("expected wait %v, usually %v", wait(), usual))
 }
 
-// TestExpectedWaitForgetsPromptsOfEndedRuns checks that the prompts of ended runs do not add to the expected wait, even if the runs end
-// sooner than the estimated prefill time.
-func TestExpectedWaitForgetsPromptsOfEndedRuns(t *testing.T) {
+// TestExpectedWaitIgnoresPromptsOfEndedRuns checks that the prompts of ended runs do not add to the expected wait, even if the
+// runs end sooner than the estimated prefill time.
+func TestExpectedWaitIgnoresPromptsOfEndedRuns(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	s := discovered(2)
+	s := newDiscoveredState(2)
 	s.Adopt([]resource.Ref{ref(1)}, false)
 	for id := range uint64(50) {
 		s.Submit(now, owner.Ticket{ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: 200, Last: true})
 		s.Done(now, id, owner.EndWhole)
 	}
-	actions := s.Submit(now, owner.Ticket{ID: 99, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: 200, Accept: 200 * time.Millisecond})
+	actions := s.Submit(now, owner.Ticket{
+		ID: 99, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: 200, MaxWait: 200 * time.Millisecond,
+	})
 	c.Check(actionsOf[owner.Start](actions), qt.HasLen, 1)
 }
 
-// TestExpectedWaitCountsSlotsInUse checks that the wait for a missing adapter includes the time until a slot in use becomes free, after
-// the slots needed by tickets ahead.
+// TestExpectedWaitCountsSlotsInUse checks that the wait for a missing adapter includes the time until a slot in use becomes free,
+// after the slots needed by tickets ahead.
 func TestExpectedWaitCountsSlotsInUse(t *testing.T) {
 	const loadTime = 280 * time.Millisecond
 	for _, slots := range []int{2, 8} {
@@ -148,11 +158,13 @@
 				s.Adopt([]resource.Ref{ref(i)}, false)
 				s.Submit(now, owner.Ticket{ID: uint64(i), Ref: ref(i), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 			}
-			oneFree := time.Second / time.Duration(slots)
+			slotInterval := time.Second / time.Duration(slots)
 			for ahead := range 3 {
-				refused := actionsOf[owner.Refuse](s.Submit(now, owner.Ticket{ID: 99, Ref: ref(99), Arrived: now, StartBy: now.Add(time.Minute), Accept: time.Millisecond}))
+				refused := actionsOf[owner.Refuse](s.Submit(now, owner.Ticket{
+					ID: 99, Ref: ref(99), Arrived: now, StartBy: now.Add(time.Minute), MaxWait: time.Millisecond,
+				}))
 				c.Assert(refused, qt.HasLen, 1)
-				c.Check(refused[0].Err.RetryAfter, qt.Equals, oneFree*time.Duration(ahead+1)+loadTime)
+				c.Check(refused[0].Err.RetryAfter, qt.Equals, slotInterval*time.Duration(ahead+1)+loadTime)
 				s.Submit(now, owner.Ticket{ID: uint64(50 + ahead), Ref: ref(50 + ahead), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 			}
 		})
