--- a/internal/owner/prefixes.go
+++ b/internal/owner/prefixes.go
@@ -6,17 +6,18 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Part is a part of a prompt that other requests may share. Its key stands for it and all parts before it.
+// Part is a part of a prompt that other requests may share. Its key identifies this part together with all parts before it.
 type Part struct {
 	Key    uint64 `json:"k"`
 	Tokens int    `json:"t"`
 }
 
 const (
-	// maxPrefixes bounds the parts remembered of one engine, at about 150 bytes each: an engine's cache holds some hundred prompts.
-	maxPrefixes = 2048
-	// defaultCache is taken for the cache of an engine that does not tell its size, in tokens.
-	defaultCache = 100000
+	// maxCachedParts is the number of parts stored per engine, at about 150 bytes each. An engine's cache holds some hundred
+	// prompts.
+	maxCachedParts = 2048
+	// defaultCacheTokens is the assumed cache size in tokens of an engine whose cache size is unknown.
+	defaultCacheTokens = 100000
 )
 
 type prefixKey struct {
@@ -24,26 +25,26 @@
 	key uint64
 }
 
-// prefixes remembers which parts of prompts an engine has read for which adapter. Like the engine it forgets those that were not
-// used for the longest time when its cache is full.
-type prefixes struct {
-	most   int
-	tokens int
-	lru    *simplelru.LRU[prefixKey, int]
+// prefixCache models the prefix cache of an engine: the prompt parts that it has processed per adapter. Like the engine, it
+// removes the least recently used parts when the cache is full.
+type prefixCache struct {
+	maxTokens int
+	tokens    int
+	lru       *simplelru.LRU[prefixKey, int]
 }
 
-func newPrefixes(most int) *prefixes {
-	p := &prefixes{most: most}
-	if most <= 0 {
-		p.most = defaultCache
+func newPrefixCache(maxTokens int) *prefixCache {
+	p := &prefixCache{maxTokens: maxTokens}
+	if maxTokens <= 0 {
+		p.maxTokens = defaultCacheTokens
 	}
-	// The size is a positive constant, the only thing that is checked.
-	p.lru, _ = simplelru.NewLRU(maxPrefixes, func(_ prefixKey, tokens int) { p.tokens -= tokens })
+	// NewLRU fails only if the size is not positive.
+	p.lru, _ = simplelru.NewLRU(maxCachedParts, func(_ prefixKey, tokens int) { p.tokens -= tokens })
 	return p
 }
 
-// cached returns how many tokens at the start of a prompt the engine has.
-func (p *prefixes) cached(ref resource.Ref, parts []Part) int {
+// cachedTokens returns the number of tokens at the start of a prompt that are in the engine's cache.
+func (p *prefixCache) cachedTokens(ref resource.Ref, parts []Part) int {
 	sum := 0
 	for _, part := range parts {
 		if !p.lru.Contains(prefixKey{ref, part.Key}) {
@@ -54,8 +55,9 @@
 	return sum
 }
 
-// add notes that the engine reads a prompt. Parts are used from the last to the first, so that a part outlives those that need it.
-func (p *prefixes) add(ref resource.Ref, parts []Part) {
+// add stores the parts of a prompt. It adds the last part first, so that a part is removed later than the parts that follow it in
+// the prompt and need it.
+func (p *prefixCache) add(ref resource.Ref, parts []Part) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		k := prefixKey{ref, parts[i].Key}
 		if _, ok := p.lru.Get(k); ok {
@@ -64,11 +66,11 @@
 		p.tokens += parts[i].Tokens
 		p.lru.Add(k, parts[i].Tokens)
 	}
-	for p.tokens > p.most {
+	for p.tokens > p.maxTokens {
 		if _, _, ok := p.lru.RemoveOldest(); !ok {
 			return
 		}
 	}
 }
 
-func (p *prefixes) clear() { p.lru.Purge() }
+func (p *prefixCache) clear() { p.lru.Purge() }
--- a/internal/owner/set.go
+++ b/internal/owner/set.go
@@ -19,83 +19,87 @@
 )
 
 const (
-	// defaultMaxQueue bounds the waiting requests of an engine whose base model has no serving configuration.
+	// defaultMaxQueue is the queue limit of an engine whose base model has no serving configuration.
 	defaultMaxQueue = 256
-	// packBelow is the stall weight below which full steps go before the early start of work without urgency.
-	packBelow = 50
+	// packStallWeight is the stall weight below which full engine steps are preferred to an early start of requests of urgency 0.
+	packStallWeight = 50
 )
 
 // SetConfig configures a Set.
 type SetConfig struct {
-	// Supervisor runs the runners.
+	// Supervisor runs the Runners.
 	Supervisor *suture.Supervisor
-	// Lookup returns what is declared for an engine, if it is.
+	// Lookup returns the declared configuration of an engine, and false if the engine is not declared.
 	Lookup func(name string) (Declared, bool)
 	// Leaving reports whether the box of an engine is leaving.
 	Leaving func(name string) bool
 	Client  Engines
-	// Loads gives permits for adapters, BaseLoads for base models.
-	Loads     loads.Source
+	// Loads grants permits for adapter loads.
+	Loads loads.Source
+	// BaseLoads grants permits for base model loads.
 	BaseLoads loads.Source
-	// PrefillRate is how many prompt tokens an engine reads in a second; zero leaves prompts out of the expected wait.
+	// PrefillRate is the initial estimate of an engine's prefill rate in tokens per second. Zero leaves prompts out of the expected
+	// wait.
 	PrefillRate float64
 	Policy      policy.Policy
-	// Authority says whether this box may give an engine orders now.
+	// Authority reports whether this box may send orders to an engine now, and under which epoch.
 	Authority func(engine string, now time.Time) (epoch uint64, ok bool)
-	// Rates is what this box knows of the engines' rates, Notices what else they have said of themselves.
-	Rates   *ratelimit.Book
+	// Rates holds the known rate limits of engines.
+	Rates *ratelimit.Book
+	// Notices holds other notices received from engines.
 	Notices *notice.Board
 	Scope   tally.Scope
 }
 
-// Declared is what operators declare for an engine.
+// Declared is the configuration that operators declare for an engine.
 type Declared struct {
 	Engine resource.Engine
-	// Serving is the serving configuration of its base model, nil if there is none.
+	// Serving is the serving configuration of the engine's base model, or nil if there is none.
 	Serving *resource.Serving
 }
 
-// terms is the part of a Runner's configuration that operators declare.
-type terms struct {
+// declaredSettings is the part of a Runner's configuration that operators declare.
+type declaredSettings struct {
 	engine   resource.Engine
 	maxQueue int
 	pack     bool
 }
 
-func (d Declared) terms() terms {
+func (d Declared) settings() declaredSettings {
 	if d.Serving == nil {
-		return terms{engine: d.Engine, maxQueue: defaultMaxQueue}
+		return declaredSettings{engine: d.Engine, maxQueue: defaultMaxQueue}
 	}
-	return terms{engine: d.Engine, maxQueue: d.Serving.MaxQueue, pack: d.Serving.StallWeight < packBelow}
+	return declaredSettings{engine: d.Engine, maxQueue: d.Serving.MaxQueue, pack: d.Serving.StallWeight < packStallWeight}
 }
 
-// owned is an engine that this box owns or has requests in flight on.
-type owned struct {
+// ownedEngine is an engine that this box owns, or a former one on which this box still has requests or orders in flight.
+type ownedEngine struct {
 	runner *Runner
 	token  suture.ServiceToken
-	// terms are those that the runner was started with.
-	terms terms
-	// epoch is that of the grant.
+	// settings is the configuration with which the runner was started.
+	settings declaredSettings
+	// epoch is the epoch of the ownership grant.
 	epoch uint64
-	// settled says that the previous owner has nothing in flight any more.
-	settled bool
-	// closed says that the engine's box is leaving.
-	closed bool
+	// takeoverDone is true once the runner may unload adapters taken over from the previous owner.
+	takeoverDone bool
+	// boxLeaving is true if the engine's box is leaving.
+	boxLeaving bool
 }
 
-// Set holds the runners of the engines that this box owns.
+// Set manages the Runners of the engines that this box owns.
 type Set struct {
-	cfg   SetConfig
+	cfg SetConfig
+	// mu guards the fields below.
 	mu    sync.Mutex
-	owned map[string]*owned
-	// draining holds former runners with requests in flight.
-	draining []*owned
+	owned map[string]*ownedEngine
+	// draining holds the engines that this box no longer owns but whose Runners still have requests or orders in flight.
+	draining []*ownedEngine
 }
 
 // NewSet returns an empty Set.
-func NewSet(cfg SetConfig) *Set { return &Set{cfg: cfg, owned: map[string]*owned{}} }
+func NewSet(cfg SetConfig) *Set { return &Set{cfg: cfg, owned: map[string]*ownedEngine{}} }
 
-// Get returns the runner of an owned engine.
+// Get returns the Runner of an owned engine.
 func (s *Set) Get(name string) (*Runner, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,7 +110,7 @@
 	return o.runner, true
 }
 
-// Update starts and stops runners so that they match the grants, and stops those to be released.
+// Update starts and stops Runners to match the ownership grants, and stops the Runners of the engines to release.
 func (s *Set) Update(grants []coordinator.Ownership, release []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,107 +120,113 @@
 	}
 	for name, o := range s.owned {
 		if granted[name].Epoch != o.epoch {
-			s.lose(name, o)
+			s.drain(name, o)
 		}
 	}
 	for _, g := range grants {
-		s.hold(g)
+		s.ensureRunner(g)
 	}
 	for _, name := range release {
 		if o, ok := s.owned[name]; ok {
 			o.runner.Stop()
 		}
 	}
-	s.sweep()
+	s.removeDrained()
 }
 
-// hold starts the runner of a granted engine, and settles it once its previous owner is done.
-func (s *Set) hold(g coordinator.Ownership) {
+// ensureRunner ensures that the Runner of a granted engine runs with the current configuration. It also informs the Runner
+// whether the engine's box is leaving and when the adapters of the previous owner may be unloaded.
+func (s *Set) ensureRunner(g coordinator.Ownership) {
 	o, ok := s.owned[g.Engine]
-	if ok && (o.runner.ended() || s.redeclared(g.Engine, o)) {
-		s.lose(g.Engine, o)
+	if ok && (o.runner.hasEnded() || s.hasNewSettings(g.Engine, o)) {
+		s.drain(g.Engine, o)
 		ok = false
 	}
 	if !ok {
-		if o = s.start(g); o == nil {
+		if o = s.startRunner(g); o == nil {
 			return
 		}
 	}
-	if leaving := s.cfg.Leaving(g.Engine); leaving != o.closed {
-		o.closed = leaving
-		o.runner.Close(leaving)
+	if leaving := s.cfg.Leaving(g.Engine); leaving != o.boxLeaving {
+		o.boxLeaving = leaving
+		o.runner.SetBoxLeaving(leaving)
 	}
-	if !o.settled && s.isSettled(g, o) {
-		o.settled = true
-		o.runner.Settle()
+	if !o.takeoverDone && s.canFinishTakeover(g, o) {
+		o.takeoverDone = true
+		o.runner.FinishTakeover()
 	}
 }
 
-// isSettled reports whether adapters that an engine held when it was taken over may be unloaded. One that ends an adapter's runs
-// before it unloads the adapter needs no word from the previous owner. Giving those runs time first was tried: 8 s without
-// evictions after each takeover cost 0.09 to 0.14 of a site's score, 1.5 s and 3 s gained nothing.
-func (s *Set) isSettled(g coordinator.Ownership, o *owned) bool {
-	return o.terms.engine.FinishesFirst || (g.Previous == "" && !s.drains(g.Engine))
+// canFinishTakeover reports whether the adapters that were loaded when the engine was taken over may be unloaded. This is allowed
+// as soon as the previous owner has no requests in flight, and at once on an engine that finishes the runs of an adapter before
+// it unloads the adapter. Delaying the unloads there brings no benefit: 8 s without evictions after each takeover cost 0.09 to
+// 0.14 of a site's score, and 1.5 s and 3 s gained nothing.
+func (s *Set) canFinishTakeover(g coordinator.Ownership, o *ownedEngine) bool {
+	return o.settings.engine.FinishesFirst || (g.Previous == "" && !s.isDraining(g.Engine))
 }
 
-// redeclared reports whether what is declared for an engine has changed since its runner started.
-func (s *Set) redeclared(name string, o *owned) bool {
+// hasNewSettings reports whether the declared configuration of an engine has changed since its Runner started.
+func (s *Set) hasNewSettings(name string, o *ownedEngine) bool {
 	now, ok := s.cfg.Lookup(name)
-	return ok && now.terms() != o.terms
+	return ok && now.settings() != o.settings
 }
 
-// drains reports whether a former runner of this box has requests in flight on the engine.
-func (s *Set) drains(engine string) bool {
-	return slices.ContainsFunc(s.draining, func(o *owned) bool { return o.runner.cfg.Name == engine })
+// isDraining reports whether a former Runner of this box still has requests or orders in flight on the engine.
+func (s *Set) isDraining(engine string) bool {
+	return slices.ContainsFunc(s.draining, func(o *ownedEngine) bool { return o.runner.cfg.Name == engine })
 }
 
-func (s *Set) start(g coordinator.Ownership) *owned {
+// startRunner starts a Runner for a granted engine. It returns nil if the engine is not declared.
+func (s *Set) startRunner(g coordinator.Ownership) *ownedEngine {
 	declared, ok := s.cfg.Lookup(g.Engine)
 	if !ok {
 		return nil
 	}
-	t := declared.terms()
+	settings := declared.settings()
 	name := g.Engine
 	cfg := RunnerConfig{
-		Name: name, Engine: t.engine, MaxQueue: t.maxQueue, Pack: t.pack, Client: s.cfg.Client, Loads: s.cfg.Loads, BaseLoads: s.cfg.BaseLoads, Scope: s.cfg.Scope,
+		Name: name, Engine: settings.engine, MaxQueue: settings.maxQueue, Pack: settings.pack,
+		Client: s.cfg.Client, Loads: s.cfg.Loads, BaseLoads: s.cfg.BaseLoads, Scope: s.cfg.Scope,
 		PrefillRate: s.cfg.PrefillRate, Policy: s.cfg.Policy,
-		Authority: func(now time.Time) (uint64, bool) { return s.cfg.Authority(name, now) },
-		Rate:      s.cfg.Rates.Word(clock.Now(), name, t.engine.Started),
-		Left:      s.cfg.Notices.Leaves(clock.Now(), notice.Endpoint{Name: name, Started: t.engine.Started}),
-		Notices:   s.cfg.Notices,
+		Authority:     func(now time.Time) (uint64, bool) { return s.cfg.Authority(name, now) },
+		Rate:          s.cfg.Rates.Word(clock.Now(), name, settings.engine.Started),
+		EngineLeaving: s.cfg.Notices.Leaves(clock.Now(), notice.Endpoint{Name: name, Started: settings.engine.Started}),
+		Notices:       s.cfg.Notices,
 	}
 	r := NewRunner(cfg)
-	o := &owned{runner: r, epoch: g.Epoch, terms: t}
+	o := &ownedEngine{runner: r, epoch: g.Epoch, settings: settings}
 	o.token = s.cfg.Supervisor.Add(r)
 	s.owned[cfg.Name] = o
-	klog.InfoS("engine owned", "engine", name, "epoch", g.Epoch, "previous", g.Previous)
+	klog.InfoS("engine ownership acquired", "engine", name, "epoch", g.Epoch, "previous", g.Previous)
 	return o
 }
 
-func (s *Set) lose(name string, o *owned) {
+// drain stops the Runner of an engine that this box no longer owns, or whose Runner must be replaced.
+func (s *Set) drain(name string, o *ownedEngine) {
 	o.runner.Stop()
-	klog.InfoS("engine given up", "engine", name, "epoch", o.epoch, "in_flight", o.runner.InFlight())
+	klog.InfoS("engine ownership released", "engine", name, "epoch", o.epoch, "in_flight", o.runner.InFlight())
 	delete(s.owned, name)
 	s.draining = append(s.draining, o)
 }
 
-// sweep ends former runners that have nothing in flight any more.
-func (s *Set) sweep() {
-	s.draining = slices.DeleteFunc(s.draining, func(o *owned) bool {
-		if o.runner.InFlight() > 0 || (!o.runner.Stopped() && !o.runner.ended()) {
+// removeDrained removes the former Runners that have no requests or orders in flight anymore.
+func (s *Set) removeDrained() {
+	s.draining = slices.DeleteFunc(s.draining, func(o *ownedEngine) bool {
+		if o.runner.InFlight() > 0 || (!o.runner.Stopped() && !o.runner.hasEnded()) {
 			return false
 		}
-		// The supervisor no longer having it is as good as removed.
+		// Remove fails only if the supervisor no longer has the Runner.
 		_ = s.cfg.Supervisor.Remove(o.token)
 		return true
 	})
 }
 
-// Released returns the owned engines on which nothing more will start, and Draining those with requests in flight that are not owned.
+// Released returns the owned engines whose Runners have stopped, and the engines that this box no longer owns but that still have
+// requests or orders in flight.
 func (s *Set) Released() (released, draining []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.sweep()
+	s.removeDrained()
 	for name, o := range s.owned {
 		if o.runner.Stopped() {
 			released = append(released, name)
@@ -230,7 +240,7 @@
 	return released, draining
 }
 
-// InFlight returns the started requests on all engines.
+// InFlight returns the number of running requests on all engines.
 func (s *Set) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -244,7 +254,7 @@
 	return n
 }
 
-// Status returns what the owned engines show.
+// Status returns the status of each owned engine, sorted by engine name.
 func (s *Set) Status() []Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/owner/uses_test.go
+++ b/internal/owner/uses_test.go
@@ -10,24 +10,27 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestRunsKeepAnAdapterThatWasLoadedAnew: an engine says of one request that it does not hold the adapter, while another still runs on it;
-// the adapter is loaded anew. The run from before used to be forgotten with the slot that it had begun on, and the adapter was unloaded
-// under it. Drawn once by TestStateAlwaysHolds.
-func TestRunsKeepAnAdapterThatWasLoadedAnew(t *testing.T) {
+// TestReloadedAdapterIsKeptForEarlierRuns checks that an adapter is not unloaded while a run that started before a reload is
+// still in progress. TestStateInvariants once found this failure: the engine reported for one request that the adapter was not
+// loaded, while another request still ran on it. The adapter was loaded again. The older run was counted only in the removed
+// slot, so the adapter was unloaded during that run.
+func TestReloadedAdapterIsKeptForEarlierRuns(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// before says that the other run ends before the adapter is loaded anew, end how it ends.
-		before bool
-		end    owner.End
-		// waited is how long after that the adapter is to make way, unloads how often it does.
-		waited  time.Duration
+		// endsBeforeLoad is true if the older run ends before the adapter is loaded again.
+		endsBeforeLoad bool
+		// end is the way in which the older run ends.
+		end owner.End
+		// wait is the time from the end of the older run to the permit for another adapter.
+		wait time.Duration
+		// unloads is the number of unloads that follow from the permit.
 		unloads int
 	}{
-		{"it ends whole", false, owner.EndWhole, 0, 1},
-		{"it breaks off and may go on", false, owner.EndBroken, 0, 0},
-		{"it broke off a while ago", false, owner.EndBroken, time.Minute, 1},
-		{"it breaks off before the load and may go on", true, owner.EndBroken, 0, 0},
-		{"it broke off before the load, a while ago", true, owner.EndBroken, time.Minute, 1},
+		{"run finishes", false, owner.EndWhole, 0, 1},
+		{"run breaks off and may continue", false, owner.EndBroken, 0, 0},
+		{"run broke off a minute ago", false, owner.EndBroken, time.Minute, 1},
+		{"run breaks off before the load and may continue", true, owner.EndBroken, 0, 0},
+		{"run broke off before the load a minute ago", true, owner.EndBroken, time.Minute, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -41,7 +44,7 @@
 				c.Assert(actionsOf[owner.Start](s.Submit(now, ticket(id+1, ref(1)))), qt.HasLen, 1)
 			}
 			s.Done(now, 1, owner.EndNotLoaded)
-			if tt.before {
+			if tt.endsBeforeLoad {
 				s.Done(now, 2, tt.end)
 			}
 			s.Submit(now, ticket(3, ref(1)))
@@ -49,11 +52,11 @@
 			s.Loaded(now, ref(1), nil)
 			s.Done(now, 3, owner.EndWhole)
 			s.Submit(now, ticket(4, ref(2)))
-			if !tt.before {
-				c.Assert(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, 0, qt.Commentf("one still runs"))
+			if !tt.endsBeforeLoad {
+				c.Assert(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, 0, qt.Commentf("the older run is still in progress"))
 				s.Done(now, 2, tt.end)
 			}
-			now = now.Add(tt.waited)
+			now = now.Add(tt.wait)
 			c.Check(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, tt.unloads)
 		})
 	}
