--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -14,11 +14,11 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// HandleBeat answers the heartbeat of a box; only the coordinator does.
+// HandleBeat processes the heartbeat of one box and returns the reply. It fails unless this box is the coordinator.
 func (n *Node) HandleBeat(b coordinator.Beat) (coordinator.Reply, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r, err := n.reply(clock.Now(), b)
+	r, err := n.processBeat(clock.Now(), b)
 	if err != nil {
 		return coordinator.Reply{}, err
 	}
@@ -26,17 +26,17 @@
 	return r, nil
 }
 
-// HandleBatch answers heartbeats that another box passes on; only the coordinator does.
+// HandleBatch processes heartbeats that an aggregator forwards. It fails unless this box is the coordinator.
 func (n *Node) HandleBatch(b coordinator.Batch) (coordinator.BatchReply, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.state == nil {
-		return coordinator.BatchReply{}, n.notCoordinating()
+		return coordinator.BatchReply{}, n.notCoordinatorError()
 	}
 	now := clock.Now()
 	var out coordinator.BatchReply
 	for _, beat := range b.Beats {
-		r, err := n.reply(now, beat)
+		r, err := n.processBeat(now, beat)
 		answer := coordinator.Answer{Code: result.OK, Reply: r}
 		if err != nil {
 			answer = coordinator.Answer{Code: result.From(err, result.StaleBeat).Code}
@@ -47,22 +47,22 @@
 	return out, nil
 }
 
-func (n *Node) notCoordinating() error {
-	return result.New(result.StaleBeat, "%s does not coordinate %s", n.cfg.Self.Box, n.cfg.Cell)
+func (n *Node) notCoordinatorError() error {
+	return result.New(result.StaleBeat, "%s is not the coordinator of %s", n.cfg.Self.Box, n.cfg.Cell)
 }
 
-// reply takes a heartbeat in and answers it, but for the news. The caller holds the lock.
-func (n *Node) reply(now time.Time, b coordinator.Beat) (coordinator.Reply, error) {
+// processBeat records a heartbeat and returns the reply without news. The caller holds the lock.
+func (n *Node) processBeat(now time.Time, b coordinator.Beat) (coordinator.Reply, error) {
 	if n.state == nil {
-		return coordinator.Reply{}, n.notCoordinating()
+		return coordinator.Reply{}, n.notCoordinatorError()
 	}
-	// Beats count even while frozen, so that nobody is taken for silent when the platform is back.
+	// Heartbeats are recorded even while the coordinator is frozen. Otherwise boxes would count as silent when the platform is back.
 	if err := n.state.Beat(now, b); err != nil {
 		return coordinator.Reply{}, err
 	}
 	r := n.state.Reply(now, b.Member.Box)
-	r.Frozen = r.Frozen || !now.Before(n.tenure.validUntil)
-	r.LeaseVersion = n.tenure.version
+	r.Frozen = r.Frozen || !now.Before(n.leaseView.validUntil)
+	r.LeaseVersion = n.leaseView.version
 	r.Revision = n.cfg.Catalog.Revision()
 	if b.GrantsSum == coordinator.Sum(r.Grants) {
 		r.Same, r.Grants = true, nil
@@ -70,93 +70,95 @@
 	return r, nil
 }
 
-// limit bounds one duty of a round. Each has a bound of its own, so that a frozen coordinator, which takes up the heartbeat's, cannot keep this box from seeking the lease.
-func (n *Node) limit(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(ctx, n.cfg.Timing.LeaseTTL/dutyShare)
+// withStepTimeout limits the time of one step of a round. Each step has a limit of its own: a heartbeat to a frozen coordinator uses up its
+// limit, and must not keep this box from checking the lease.
+func (n *Node) withStepTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(ctx, n.cfg.Timing.LeaseTTL/stepDivisor)
 }
 
-// beat sends one heartbeat to the coordinator and takes the reply in.
-func (n *Node) beat(ctx context.Context) error {
-	ctx, cancel := n.limit(ctx)
+// sendHeartbeat sends one heartbeat to the coordinator and applies the reply.
+func (n *Node) sendHeartbeat(ctx context.Context) error {
+	ctx, cancel := n.withStepTimeout(ctx)
 	defer cancel()
-	if at, ok := n.turn(); ok {
-		ctx, cancel = context.WithTimeout(ctx, clock.Until(at))
+	if takeoverAt, ok := n.nextTakeoverTime(); ok {
+		ctx, cancel = context.WithTimeout(ctx, clock.Until(takeoverAt))
 		defer cancel()
 	}
-	full, address := n.nextBeat()
+	full, address := n.buildBeat()
 	if address == "" {
-		return errors.New("member: no coordinator known")
+		return errors.New("member: coordinator address is unknown")
 	}
-	b := n.abridge(full)
+	b := n.omitUnchanged(full)
 	sentAt := clock.Now()
-	r, err := n.exchange(ctx, address, b)
-	n.noteStall(sentAt.Add(n.cfg.Timing.LeaseTTL / dutyShare))
-	if b.Base != 0 && isCode(err, result.UnknownBase) {
+	r, err := n.submitBeat(ctx, address, b)
+	n.recordStall(sentAt.Add(n.cfg.Timing.LeaseTTL / stepDivisor))
+	if b.Base != 0 && hasCode(err, result.UnknownBase) {
 		b = full
 		b.Sequence = n.nextSequence()
 		sentAt = clock.Now()
-		r, err = n.exchange(ctx, address, b)
+		r, err = n.submitBeat(ctx, address, b)
 	}
 	if err != nil {
-		n.heardOfLease(err)
+		n.adoptReportedLease(err)
 		return err
 	}
 	if b.Base == 0 {
-		n.basis = basis{sequence: b.Sequence, lease: r.Lease, holdings: holdingsOf(full)}
+		n.lastFullBeat = fullBeat{sequence: b.Sequence, lease: r.Lease, holdings: holdingsOf(full)}
 	}
-	n.accept(sentAt, r)
+	n.applyReply(sentAt, r)
 	return nil
 }
 
-// heardOfLease takes in what the aggregator knows of the lease when it could not pass a heartbeat on. Boxes that are not among the first to
-// take the lease need not read it then.
-func (n *Node) heardOfLease(err error) {
-	var unreached unreachedError
+// adoptReportedLease records the lease state that an aggregator returns when it cannot reach the coordinator. Boxes that are not among the
+// first candidates for the lease then need not read it from the platform.
+func (n *Node) adoptReportedLease(err error) {
+	var unreached coordinatorUnreachedError
 	if !errors.As(err, &unreached) {
 		return
 	}
 	n.lease.Told(unreached.Lease, unreached.Version)
-	n.setTenure(n.coordinating())
-	if n.rank() >= maxCandidates {
-		n.lastSeek = clock.Now()
+	n.updateLeaseView(n.coordinatorState())
+	if n.candidateRank() >= maxCandidates {
+		n.lastLeaseCheck = clock.Now()
 	}
 }
 
-// exchange has a heartbeat answered and takes in what else comes with the reply.
-func (n *Node) exchange(ctx context.Context, address string, b coordinator.Beat) (coordinator.Reply, error) {
+// submitBeat handles a heartbeat locally if this box is the coordinator, and sends it otherwise.
+func (n *Node) submitBeat(ctx context.Context, address string, b coordinator.Beat) (coordinator.Reply, error) {
 	if address == n.cfg.Self.Peer.String() {
 		return n.HandleBeat(b)
 	}
 	return n.callCoordinator(ctx, address, b)
 }
 
-func isCode(err error, code result.Code) bool {
+func hasCode(err error, code result.Code) bool {
 	var coded *result.Error
 	return errors.As(err, &coded) && coded.Code == code
 }
 
-// callCoordinator sends a heartbeat to another box. It is given up when the map names a newer coordinator: one that hangs would keep this
-// box from being heard by the new one for longer than that waits.
+// callCoordinator sends a heartbeat to another box. It cancels the call when the map names a newer coordinator. A hanging old coordinator
+// could otherwise delay this box's first heartbeat to the new one until the new one counts this box as silent.
 func (n *Node) callCoordinator(ctx context.Context, address string, b coordinator.Beat) (r coordinator.Reply, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group errgroup.Group
 	group.Go(func() error {
-		n.awaitSupplanted(ctx)
+		n.awaitNewerCoordinator(ctx)
 		cancel()
 		return nil
 	})
-	r, err = n.send(ctx, address, b)
+	r, err = n.routeBeat(ctx, address, b)
 	cancel()
-	// It returns no error.
+	// The function of the group returns no error.
 	_ = group.Wait()
 	return r, err
 }
 
-// awaitSupplanted returns when the map names a newer coordinator, or ctx ends. The loop that it reads the lease of waits for it.
-func (n *Node) awaitSupplanted(ctx context.Context) {
+// awaitNewerCoordinator returns when the map names a newer coordinator, or when ctx ends. It may read n.lease because the loop, which owns
+// that field, waits for this call.
+func (n *Node) awaitNewerCoordinator(ctx context.Context) {
 	for {
 		changed := n.cfg.Catalog.Changed()
-		if n.supplanted() {
+		if n.hasNewerCoordinator() {
 			return
 		}
 		select {
@@ -167,7 +169,7 @@
 	}
 }
 
-func (n *Node) nextBeat() (coordinator.Beat, string) {
+func (n *Node) buildBeat() (coordinator.Beat, string) {
 	released, draining := n.cfg.Holder.Released()
 	now := clock.Now()
 	n.mu.Lock()
@@ -175,8 +177,8 @@
 	self := n.cfg.Self
 	self.Leaving = n.leaving
 	slices.Sort(draining)
-	b := coordinator.Beat{Member: self, Draining: draining, Sequence: n.nextSequence(), GrantsSum: coordinator.Sum(n.granted), Lease: n.tenure.record.Epoch}
-	if n.cfg.Spread != nil && n.tenure.record.Address != self.Peer.String() {
+	b := coordinator.Beat{Member: self, Draining: draining, Sequence: n.nextSequence(), GrantsSum: coordinator.Sum(n.lastGrants), Lease: n.leaseView.record.Epoch}
+	if n.cfg.Spread != nil && n.leaseView.record.Address != self.Peer.String() {
 		m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 		b.Known, b.MapGeneration = n.cfg.Spread.Known(), m.Generation
 	}
@@ -186,7 +188,7 @@
 		if g.released {
 			b.Released = append(b.Released, coordinator.Release{Engine: name, Epoch: g.Epoch})
 		}
-		if now.Before(g.until) {
+		if now.Before(g.validUntil) {
 			b.Owned = append(b.Owned, g.Ownership)
 		} else {
 			b.Lapsed = append(b.Lapsed, name)
@@ -195,11 +197,11 @@
 	slices.Sort(b.Lapsed)
 	slices.SortFunc(b.Released, func(x, y coordinator.Release) int { return strings.Compare(x.Engine, y.Engine) })
 	slices.SortFunc(b.Owned, func(x, y coordinator.Ownership) int { return strings.Compare(x.Engine, y.Engine) })
-	return b, n.tenure.record.Address
+	return b, n.leaseView.record.Address
 }
 
-// basis is the last heartbeat in full that a coordinator has answered.
-type basis struct {
+// fullBeat describes the last complete heartbeat that a coordinator has answered.
+type fullBeat struct {
 	sequence uint64
 	lease    uint64
 	holdings coordinator.Holdings
@@ -214,20 +216,20 @@
 	return n.sequence
 }
 
-// abridge leaves out of a heartbeat what the coordinator has heard in an earlier one.
-func (n *Node) abridge(full coordinator.Beat) coordinator.Beat {
-	if n.basis.sequence == 0 || n.basis.lease != full.Lease || !n.basis.holdings.Equal(holdingsOf(full)) {
+// omitUnchanged leaves out the holdings if the coordinator already has them from an earlier complete heartbeat.
+func (n *Node) omitUnchanged(full coordinator.Beat) coordinator.Beat {
+	if n.lastFullBeat.sequence == 0 || n.lastFullBeat.lease != full.Lease || !n.lastFullBeat.holdings.Equal(holdingsOf(full)) {
 		return full
 	}
 	b := full
-	b.Base = n.basis.sequence
+	b.Base = n.lastFullBeat.sequence
 	b.Member = coordinator.Member{Box: full.Member.Box, Incarnation: full.Member.Incarnation}
 	b.Released, b.Draining, b.Owned, b.Lapsed = nil, nil, nil, nil
 	return b
 }
 
-// accept takes a reply in. A frozen reply changes nothing, but shows that the coordinator is there.
-func (n *Node) accept(sentAt time.Time, r coordinator.Reply) {
+// applyReply applies the reply to a heartbeat. A frozen reply changes no grants, but shows that the coordinator is reachable.
+func (n *Node) applyReply(sentAt time.Time, r coordinator.Reply) {
 	now := clock.Now()
 	n.mu.Lock()
 	n.lastReply, n.frozen = now, r.Frozen
@@ -236,15 +238,15 @@
 		return
 	}
 	if !r.Same {
-		n.granted = r.Grants
+		n.lastGrants = r.Grants
 	}
 	grants := map[string]grant{}
-	for _, g := range n.granted {
-		had := n.grants[g.Engine]
-		grants[g.Engine] = grant{Ownership: g, until: sentAt.Add(r.Term), released: had.released && had.Epoch == g.Epoch}
+	for _, g := range n.lastGrants {
+		previous := n.grants[g.Engine]
+		grants[g.Engine] = grant{Ownership: g, validUntil: sentAt.Add(r.Term), released: previous.released && previous.Epoch == g.Epoch}
 	}
 	n.grants = grants
 	n.mu.Unlock()
 	n.lease.Observe(now, r.Lease, r.LeaseVersion)
-	n.cfg.Holder.Update(n.granted, r.Release)
+	n.cfg.Holder.Update(n.lastGrants, r.Release)
 }
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -30,12 +30,12 @@
 	cell = resource.DefaultCell
 )
 
-// firstPort is that of the first box's address, which nothing listens on.
+// firstPort is the port in the address of the first box. Nothing listens on these addresses.
 const firstPort = 10000
 
-var errCut = errors.New("cut off")
+var errDisconnected = errors.New("box is disconnected")
 
-// cluster is some members of one cell in virtual time, joined by direct calls.
+// cluster is a group of members of one cell in virtual time, connected by direct calls.
 type cluster struct {
 	c        *qt.C
 	platform *fakeplatform.Store
@@ -44,13 +44,13 @@
 	group    errgroup.Group
 	engines  []string
 	history  []invariant.Authority
-	beats    int
-	// answerTime is what the platform takes to answer a Get or Put.
+	messages int
+	// answerTime is how long the platform takes to answer a Get or Put.
 	answerTime time.Duration
 	timing     member.Timing
-	// spread is given to all boxes started from now on.
+	// spread is passed to all boxes that are started after it is set.
 	spread member.Spread
-	// zones are those that boxes are spread over; with none all are in zone.
+	// zones are the availability zones over which the boxes are distributed. If empty, all boxes are in the constant zone.
 	zones []string
 }
 
@@ -61,7 +61,7 @@
 	return cl.zones[port%len(cl.zones)]
 }
 
-// node is one box: membership, catalog and feed, with faults at its interfaces.
+// node is one box: membership, catalog and feed, with fault injection at its interfaces.
 type node struct {
 	cluster *cluster
 	name    string
@@ -72,18 +72,18 @@
 	stop    context.CancelFunc
 
 	mu sync.Mutex
-	// thawed is set while the box is frozen, and closed when it goes on.
-	thawed      chan struct{}
-	cutPlatform bool
-	cutPeers    bool
-	// unanswered lets the box's writes take effect without an answer, and its reads fail, as when the store is too slow for them.
-	unanswered bool
-	owned      map[string]bool
-	released   []string
-	zone       string
-	// last is the last heartbeat sent to another box.
-	last coordinator.Beat
-	// received counts the messages of other boxes; the cluster's lock guards it.
+	// thawSignal is not nil while the box is frozen, and is closed when the box is thawed.
+	thawSignal           chan struct{}
+	platformDisconnected bool
+	peersDisconnected    bool
+	// dropsAnswers simulates a store that is too slow for the box: the box's writes take effect without an answer, and its reads fail.
+	dropsAnswers bool
+	ownedEngines map[string]bool
+	toRelease    []string
+	zone         string
+	// lastSent is the last heartbeat that this box sent to another box.
+	lastSent coordinator.Beat
+	// received counts the messages from other boxes. The cluster's lock guards it.
 	received int
 }
 
@@ -91,7 +91,7 @@
 	return newSlowCluster(t, boxes, engines, 0)
 }
 
-// routedTiming holds the periods of boxes that serve routes, as they are deployed.
+// routedTiming returns the periods of boxes that serve routes, as in deployments.
 func routedTiming() member.Timing {
 	return member.Timing{
 		Beat: 400 * time.Millisecond, LeaseTTL: 2 * time.Second, Term: 7 * time.Second, Drain: time.Minute, SilentAfter: 1200 * time.Millisecond,
@@ -99,7 +99,7 @@
 	}
 }
 
-// newSlowCluster returns a cluster whose platform takes a time to answer.
+// newSlowCluster returns a cluster whose platform takes answerTime for each Get or Put.
 func newSlowCluster(t *testing.T, boxes, engines int, answerTime time.Duration) *cluster {
 	return newTimedCluster(t, boxes, engines, answerTime, member.DefaultTiming())
 }
@@ -110,7 +110,7 @@
 		cl.declareEngine(fmt.Sprintf("engine-%03d", i))
 	}
 	for i := range boxes {
-		cl.start(fmt.Sprintf("box-%03d", i), i)
+		cl.startBox(fmt.Sprintf("box-%03d", i), i)
 	}
 	return cl
 }
@@ -126,9 +126,9 @@
 	cl.c.Assert(err, qt.IsNil)
 }
 
-// start starts a box; its incarnation differs from any other's.
-func (cl *cluster) start(name string, port int) {
-	n := &node{cluster: cl, name: name, zone: cl.zoneOf(port), catalog: catalog.New(), owned: map[string]bool{}}
+// startBox starts a box with an incarnation of its own.
+func (cl *cluster) startBox(name string, port int) {
+	n := &node{cluster: cl, name: name, zone: cl.zoneOf(port), catalog: catalog.New(), ownedEngines: map[string]bool{}}
 	peer := netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(firstPort+port))
 	n.address = peer.String()
 	tokens := 0
@@ -140,7 +140,7 @@
 			return fmt.Sprintf("%s-%d-%d", name, time.Now().UnixNano(), tokens)
 		},
 	})
-	n.feed = feed.New(feed.Config{Catalog: n.catalog, Scope: tally.NoopScope, Pick: n.pick})
+	n.feed = feed.New(feed.Config{Catalog: n.catalog, Scope: tally.NoopScope, Pick: n.pickSource})
 	ctx, cancel := context.WithCancel(cl.c.Context())
 	n.stop = cancel
 	cl.mu.Lock()
@@ -157,8 +157,8 @@
 	})
 }
 
-// kill ends a box without any farewell.
-func (cl *cluster) kill(name string) {
+// killBox ends a box abruptly, without a planned stop.
+func (cl *cluster) killBox(name string) {
 	cl.mu.Lock()
 	n := cl.nodes[name]
 	delete(cl.nodes, name)
@@ -166,17 +166,17 @@
 	n.stop()
 }
 
-// end stops all boxes, which every bubble has to.
-func (cl *cluster) end() {
+// stopAll stops all boxes. Each synctest bubble has to do so before it ends.
+func (cl *cluster) stopAll() {
 	cl.platform.SetFaults(fakeplatform.Faults{})
-	for _, n := range cl.list() {
+	for _, n := range cl.runningNodes() {
 		n.thaw()
 		n.stop()
 	}
 	cl.c.Check(cl.group.Wait(), qt.ErrorIs, context.Canceled)
 }
 
-func (cl *cluster) list() []*node {
+func (cl *cluster) runningNodes() []*node {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	var all []*node
@@ -187,7 +187,7 @@
 	return all
 }
 
-func (cl *cluster) at(address string) *node {
+func (cl *cluster) nodeAt(address string) *node {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	for _, n := range cl.nodes {
@@ -198,10 +198,10 @@
 	return nil
 }
 
-// sample records who may give orders now.
-func (cl *cluster) sample() {
+// recordAuthority records which boxes may give orders to which engines now.
+func (cl *cluster) recordAuthority() {
 	now := time.Now()
-	for _, n := range cl.list() {
+	for _, n := range cl.runningNodes() {
 		for _, e := range cl.engines {
 			if epoch, ok := n.Authority(e, now); ok {
 				cl.history = append(cl.history, invariant.Authority{At: now, Engine: e, Box: n.name, Epoch: epoch})
@@ -210,59 +210,59 @@
 	}
 }
 
-// run lets time pass while sampling.
-func (cl *cluster) run(d time.Duration) {
-	const every = 100 * time.Millisecond
-	for ; d > 0; d -= every {
-		time.Sleep(every)
-		cl.sample()
+// advance lets time pass and records the authority of the boxes at short intervals.
+func (cl *cluster) advance(d time.Duration) {
+	const interval = 100 * time.Millisecond
+	for ; d > 0; d -= interval {
+		time.Sleep(interval)
+		cl.recordAuthority()
 	}
 }
 
-// owned returns how many engines have a box that may give them orders now.
-func (cl *cluster) owned() int {
-	now, n := time.Now(), 0
+// countOwned counts the engines to which a box may give orders now.
+func (cl *cluster) countOwned() int {
+	now, count := time.Now(), 0
 	for _, e := range cl.engines {
-		for _, b := range cl.list() {
+		for _, b := range cl.runningNodes() {
 			if _, ok := b.Authority(e, now); ok {
-				n++
+				count++
 			}
 		}
 	}
-	return n
+	return count
 }
 
-// until lets time pass until ok, and returns how long that took; it fails after limit.
-func (cl *cluster) until(limit time.Duration, ok func() bool) time.Duration {
-	began := time.Now()
-	for !ok() {
-		if time.Since(began) > limit {
-			cl.c.Fatalf("not within %s", limit)
+// waitUntil lets time pass until condition returns true, and returns how long that took. It fails the test after limit.
+func (cl *cluster) waitUntil(limit time.Duration, condition func() bool) time.Duration {
+	start := time.Now()
+	for !condition() {
+		if time.Since(start) > limit {
+			cl.c.Fatalf("condition not met within %s", limit)
 		}
-		cl.run(100 * time.Millisecond)
+		cl.advance(100 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
-func (cl *cluster) sentBeats() int {
+func (cl *cluster) sentMessages() int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	return cl.beats
+	return cl.messages
 }
 
 func (n *node) lastBeat() coordinator.Beat {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.last
+	return n.lastSent
 }
 
 func (n *node) ownedCount() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.owned)
+	return len(n.ownedEngines)
 }
 
-func (cl *cluster) check() {
+func (cl *cluster) checkInvariants() {
 	cl.c.Check(invariant.OneAuthority(cl.history), qt.IsNil)
 	cl.c.Check(invariant.EpochsGrow(cl.history), qt.IsNil)
 }
@@ -270,95 +270,95 @@
 func (n *node) freeze() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.thawed == nil {
-		n.thawed = make(chan struct{})
+	if n.thawSignal == nil {
+		n.thawSignal = make(chan struct{})
 	}
 }
 
 func (n *node) thaw() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.thawed != nil {
-		close(n.thawed)
-		n.thawed = nil
+	if n.thawSignal != nil {
+		close(n.thawSignal)
+		n.thawSignal = nil
 	}
 }
 
-func (n *node) cut(fromPlatform, fromPeers bool) {
+func (n *node) setDisconnected(fromPlatform, fromPeers bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cutPlatform, n.cutPeers = fromPlatform, fromPeers
+	n.platformDisconnected, n.peersDisconnected = fromPlatform, fromPeers
 }
 
-// gate blocks while the box is frozen. Every call into and out of a box passes it.
-func (n *node) gate() {
+// waitWhileFrozen blocks while the box is frozen. Every call into or out of a box goes through it.
+func (n *node) waitWhileFrozen() {
 	n.mu.Lock()
-	thawed := n.thawed
+	thawed := n.thawSignal
 	n.mu.Unlock()
 	if thawed != nil {
 		<-thawed
 	}
 }
 
-func (n *node) setUnanswered(on bool) {
+func (n *node) setDropsAnswers(on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.unanswered = on
+	n.dropsAnswers = on
 }
 
-func (n *node) isUnanswered() bool {
+func (n *node) isDroppingAnswers() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.unanswered
+	return n.dropsAnswers
 }
 
-func (n *node) platformCut() bool {
-	n.gate()
+func (n *node) isPlatformDisconnected() bool {
+	n.waitWhileFrozen()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cutPlatform
+	return n.platformDisconnected
 }
 
-// isCut reports whether the box is cut off from anything.
-func (n *node) isCut() bool {
+// isDisconnected reports whether the box is disconnected from the platform or from other boxes.
+func (n *node) isDisconnected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cutPlatform || n.cutPeers
+	return n.platformDisconnected || n.peersDisconnected
 }
 
-func (n *node) peersCut() bool {
+func (n *node) arePeersDisconnected() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cutPeers
+	return n.peersDisconnected
 }
 
-func (n *node) pick() feed.Source {
+func (n *node) pickSource() feed.Source {
 	if address, ok := n.CoordinatorAddress(); ok && !n.cluster.timing.Reclaim {
-		return source{n, address}
+		return peerSource{n, address}
 	}
 	return n
 }
 
-// source is another box as a source of changes.
-type source struct {
+// peerSource reads changes from another box.
+type peerSource struct {
 	node    *node
 	address string
 }
 
-func (s source) List(context.Context, []string, string) (objects.Changes, error) {
-	to, err := s.reach()
+func (s peerSource) List(context.Context, []string, string) (objects.Changes, error) {
+	to, err := s.connect()
 	if err != nil {
 		return objects.Changes{}, err
 	}
 	return to.catalog.All(), nil
 }
 
-func (s source) Authoritative() bool { return false }
+func (s peerSource) Authoritative() bool { return false }
 
-func (s source) Watch(ctx context.Context, _ []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
+func (s peerSource) Watch(ctx context.Context, _ []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	timeout := time.After(wait)
 	for {
-		to, err := s.reach()
+		to, err := s.connect()
 		if err != nil {
 			return objects.Changes{}, err
 		}
@@ -377,61 +377,61 @@
 	}
 }
 
-func (s source) reach() (*node, error) {
-	s.node.gate()
-	to := s.node.cluster.at(s.address)
-	if to == nil || to.peersCut() || s.node.peersCut() {
-		return nil, errCut
+func (s peerSource) connect() (*node, error) {
+	s.node.waitWhileFrozen()
+	to := s.node.cluster.nodeAt(s.address)
+	if to == nil || to.arePeersDisconnected() || s.node.arePeersDisconnected() {
+		return nil, errDisconnected
 	}
-	to.gate()
+	to.waitWhileFrozen()
 	return to, nil
 }
 
 // Beat implements member.Peers.
 func (n *node) Beat(ctx context.Context, address string, b coordinator.Beat) (coordinator.Reply, error) {
 	n.mu.Lock()
-	n.last = b
+	n.lastSent = b
 	n.mu.Unlock()
-	to, err := n.reach(ctx, address)
+	to, err := n.connect(ctx, address)
 	if err != nil {
 		return coordinator.Reply{}, err
 	}
 	r, err := to.Receive(ctx, b)
-	n.gate()
+	n.waitWhileFrozen()
 	return r, err
 }
 
 // BeatBatch implements member.Peers.
 func (n *node) BeatBatch(ctx context.Context, address string, b coordinator.Batch) (coordinator.BatchReply, error) {
-	to, err := n.reach(ctx, address)
+	to, err := n.connect(ctx, address)
 	if err != nil {
 		return coordinator.BatchReply{}, err
 	}
 	r, err := to.HandleBatch(b)
-	n.gate()
+	n.waitWhileFrozen()
 	return r, err
 }
 
-// reach returns the box at an address that a message of this one gets to.
-func (n *node) reach(ctx context.Context, address string) (*node, error) {
-	n.gate()
-	to := n.cluster.at(address)
+// connect returns the box at an address if a message from this box can reach it.
+func (n *node) connect(ctx context.Context, address string) (*node, error) {
+	n.waitWhileFrozen()
+	to := n.cluster.nodeAt(address)
 	n.cluster.mu.Lock()
-	n.cluster.beats++
+	n.cluster.messages++
 	if to != nil {
 		to.received++
 	}
 	n.cluster.mu.Unlock()
-	if to == nil || n.peersCut() || to.peersCut() {
-		return nil, errCut
+	if to == nil || n.arePeersDisconnected() || to.arePeersDisconnected() {
+		return nil, errDisconnected
 	}
 	to.mu.Lock()
-	frozen := to.thawed != nil
+	frozen := to.thawSignal != nil
 	to.mu.Unlock()
 	if frozen {
-		// The caller's time limit ends the call.
+		// A frozen box does not answer: the call ends at the caller's time limit.
 		<-ctx.Done()
-		return nil, errCut
+		return nil, errDisconnected
 	}
 	return to, nil
 }
@@ -440,34 +440,34 @@
 func (n *node) Update(grants []coordinator.Ownership, release []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.owned = map[string]bool{}
+	n.ownedEngines = map[string]bool{}
 	for _, g := range grants {
-		n.owned[g.Engine] = true
+		n.ownedEngines[g.Engine] = true
 	}
-	n.released = slices.DeleteFunc(release, func(e string) bool { return !n.owned[e] })
+	n.toRelease = slices.DeleteFunc(release, func(e string) bool { return !n.ownedEngines[e] })
 }
 
 // Released implements member.Holder.
 func (n *node) Released() (released, draining []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.released, nil
+	return n.toRelease, nil
 }
 
-// The methods below implement objects.API through the node's gate and cut.
+// The methods below implement objects.API with the faults of the box.
 
 func (n *node) Get(ctx context.Context, kind, name string) (objects.Object, error) {
-	if n.platformCut() || n.isUnanswered() {
+	if n.isPlatformDisconnected() || n.isDroppingAnswers() {
 		return objects.Object{}, objects.ErrUnavailable
 	}
 	o, err := n.cluster.platform.Get(ctx, kind, name)
 	time.Sleep(n.cluster.answerTime)
-	n.gate()
+	n.waitWhileFrozen()
 	return o, err
 }
 
 func (n *node) List(ctx context.Context, kinds []string, after string) (objects.Changes, error) {
-	if n.platformCut() {
+	if n.isPlatformDisconnected() {
 		return objects.Changes{}, objects.ErrUnavailable
 	}
 	return n.cluster.platform.List(ctx, kinds, after)
@@ -476,20 +476,20 @@
 func (n *node) Authoritative() bool { return true }
 
 func (n *node) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
-	if n.platformCut() {
+	if n.isPlatformDisconnected() {
 		return objects.Changes{}, objects.ErrUnavailable
 	}
 	return n.cluster.platform.Watch(ctx, kinds, from, wait)
 }
 
 func (n *node) Put(ctx context.Context, kind, name string, expect objects.Position, value json.RawMessage) (objects.Position, error) {
-	if n.platformCut() {
+	if n.isPlatformDisconnected() {
 		return 0, objects.ErrUnavailable
 	}
 	v, err := n.cluster.platform.Put(ctx, kind, name, expect, value)
 	time.Sleep(n.cluster.answerTime)
-	n.gate()
-	if n.isUnanswered() && err == nil {
+	n.waitWhileFrozen()
+	if n.isDroppingAnswers() && err == nil {
 		return 0, objects.ErrAnswerLost
 	}
 	return v, err
--- a/internal/member/coordinate.go
+++ b/internal/member/coordinate.go
@@ -19,41 +19,44 @@
 	"github.com/bellgap/bellgap/internal/quarantine"
 )
 
-// seekLease reads the lease and takes it if it is free.
-func (n *Node) seekLease(ctx context.Context) {
-	ctx, cancel := n.limit(ctx)
+// checkLease reads the lease and takes it if it is free.
+func (n *Node) checkLease(ctx context.Context) {
+	ctx, cancel := n.withStepTimeout(ctx)
 	defer cancel()
-	n.lastSeek = clock.Now()
+	n.lastLeaseCheck = clock.Now()
 	if m, _, ok := n.cfg.Catalog.Map(n.cfg.Cell); ok {
-		n.soughtFor = m.Lease
+		n.checkedLeaseEpoch = m.Lease
 	}
 	if err := n.lease.Refresh(ctx); err != nil {
 		n.cfg.Scope.Counter("lease_read_failures").Inc(1)
 		return
 	}
 	if n.lease.Ours() {
-		n.setTenure(n.coordinating())
+		n.updateLeaseView(n.coordinatorState())
 	} else {
-		n.setTenure(nil)
+		n.updateLeaseView(nil)
 	}
-	if n.coordinating() != nil || n.Leaving() || !n.lease.Free(clock.Now(), n.grace()) {
+	if n.coordinatorState() != nil || n.Leaving() || !n.lease.Free(clock.Now(), n.takeoverDelay()) {
 		return
 	}
 	state, err := n.takeLease(ctx)
 	if err != nil {
-		klog.InfoS("lease not taken", "cell", n.cfg.Cell, "err", err)
+		klog.InfoS("could not take the coordinator lease", "cell", n.cfg.Cell, "err", err)
 	}
-	n.setTenure(state)
+	n.updateLeaseView(state)
 	if state != nil {
 		n.coordinate(ctx, state)
 	}
 }
 
-// grace is how long this box lets better placed ones go first, so that not all members write at once when their coordinator is gone.
-func (n *Node) grace() time.Duration { return time.Duration(n.rank()) * n.cfg.Timing.Beat }
+// takeoverDelay returns how long this box waits before it takes a free lease. Boxes of a better rank go first, so that the members do not
+// all write at once after the loss of their coordinator.
+func (n *Node) takeoverDelay() time.Duration {
+	return time.Duration(n.candidateRank()) * n.cfg.Timing.Beat
+}
 
-// rank returns how many boxes go before this one in seeking the lease, at most maxCandidates; none do where no map is known.
-func (n *Node) rank() int {
+// candidateRank returns how many boxes may take the lease before this one, at most maxCandidates. It returns 0 if no map is known.
+func (n *Node) candidateRank() int {
 	m, _, ok := n.cfg.Catalog.Map(n.cfg.Cell)
 	if !ok {
 		return 0
@@ -73,49 +76,50 @@
 	return rank
 }
 
-// CoordinatorAddress returns the peer address of the coordinator if another box coordinates and has answered lately.
+// CoordinatorAddress returns the peer address of the coordinator if that is another box and it has replied recently.
 func (n *Node) CoordinatorAddress() (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	address := n.tenure.record.Address
-	lately := clock.Since(n.lastReply) < missedBeats*n.cfg.Timing.Beat
-	return address, address != "" && address != n.cfg.Self.Peer.String() && lately
+	address := n.leaseView.record.Address
+	hasRecentReply := clock.Since(n.lastReply) < missedBeats*n.cfg.Timing.Beat
+	return address, address != "" && address != n.cfg.Self.Peer.String() && hasRecentReply
 }
 
-// takeLease takes the lease and continues from the cell's last map.
+// takeLease takes the lease and continues from the last map of the cell.
 func (n *Node) takeLease(ctx context.Context) (*coordinator.State, error) {
-	// A take that was not answered, or whose map could not be read, is tried again: this box is the holder then.
+	// If an earlier take was not answered, or the map could not be read after it, the lease already names this box as the holder.
 	if holder := n.lease.Record().Holder; holder != n.cfg.Self.Box {
-		n.lapsed = holder
+		n.lapsedHolder = holder
 	}
 	if err := n.lease.Take(ctx); err != nil {
 		return nil, err
 	}
-	last, version, err := readMap(ctx, n.cfg.API, n.cfg.Cell)
+	lastMap, version, err := readMap(ctx, n.cfg.API, n.cfg.Cell)
 	if err != nil {
 		return nil, err
 	}
-	n.mapVersion, n.published = version, last
+	n.publishedVersion, n.publishedMap = version, lastMap
 	if n.cfg.Quarantine != nil {
-		n.cfg.Quarantine.Inherit(last.Quarantined)
+		n.cfg.Quarantine.Inherit(lastMap.Quarantined)
 	}
 	epoch := n.lease.Record().Epoch
 	_, _, known := n.cfg.Catalog.Map(n.cfg.Cell)
-	restored := lease.EraOf(last.Lease) < lease.EraOf(epoch) && (version.Exists() || known)
+	restored := lease.EraOf(lastMap.Lease) < lease.EraOf(epoch) && (version.Exists() || known)
 	n.mu.Lock()
 	n.history.Reset()
 	if !restored {
-		n.history.Set(last)
+		n.history.Set(lastMap)
 	}
-	n.mapStored = version
+	n.historyVersion = version
 	n.mu.Unlock()
 	n.cfg.Scope.Counter("leases_taken").Inc(1)
-	klog.InfoS("coordinating", "cell", n.cfg.Cell, "lease", epoch, "lapsed", n.lapsed, "restored", restored, "generation", last.Generation, "members", len(last.Members), "engines", len(last.Owners))
+	klog.InfoS("coordinating", "cell", n.cfg.Cell, "lease", epoch, "lapsed", n.lapsedHolder, "restored", restored, "generation", lastMap.Generation,
+		"members", len(lastMap.Members), "engines", len(lastMap.Owners))
 	return coordinator.New(coordinator.Config{
 		Cell: n.cfg.Cell, Region: n.cfg.Region, Box: n.cfg.Self.Box, Lease: epoch, Term: n.cfg.Timing.Term, Drain: n.cfg.Timing.Drain, Started: clock.Now(),
-		SilentAfter: n.cfg.Timing.SilentAfter, UnheardAfter: unheardBeats * n.cfg.Timing.Beat, OrderGap: n.cfg.Timing.OrderGap, Reclaim: n.cfg.Timing.Reclaim, Lapsed: n.lapsed,
+		SilentAfter: n.cfg.Timing.SilentAfter, UnheardAfter: takeoverGraceBeats * n.cfg.Timing.Beat, OrderGap: n.cfg.Timing.OrderGap, Reclaim: n.cfg.Timing.Reclaim, Lapsed: n.lapsedHolder,
 		Restored: restored, LeaseTTL: n.cfg.Timing.LeaseTTL,
-	}, last), nil
+	}, lastMap), nil
 }
 
 func readMap(ctx context.Context, api objects.API, cell string) (coordinator.Map, objects.Position, error) {
@@ -130,36 +134,36 @@
 	return m, o.Version, json.Unmarshal(o.Value, &m)
 }
 
-// coordinate renews the lease and publishes what changed.
+// coordinate renews the lease and publishes the map if it has changed.
 func (n *Node) coordinate(ctx context.Context, state *coordinator.State) {
-	ctx, cancel := n.limit(ctx)
+	ctx, cancel := n.withStepTimeout(ctx)
 	defer cancel()
 	var err error
-	if clock.Until(n.lease.ValidUntil()) <= time.Duration(renewBelow*float64(n.cfg.Timing.LeaseTTL)) {
+	if clock.Until(n.lease.ValidUntil()) <= time.Duration(renewThreshold*float64(n.cfg.Timing.LeaseTTL)) {
 		err = n.lease.Renew(ctx)
 	}
 	if errors.Is(err, objects.ErrConflict) {
-		klog.InfoS("lease lost", "cell", n.cfg.Cell, "holder", n.lease.Record().Holder)
+		klog.InfoS("coordinator lease lost", "cell", n.cfg.Cell, "holder", n.lease.Record().Holder)
 		state = nil
 	}
-	n.setTenure(state)
+	n.updateLeaseView(state)
 	if err != nil {
 		n.cfg.Scope.Counter("lease_renew_failures").Inc(1)
 		return
 	}
 	n.readBoxes(ctx, state)
-	if err := n.publish(ctx, state); err != nil {
+	if err := n.publishMap(ctx, state); err != nil {
 		n.cfg.Scope.Counter("map_write_failures").Inc(1)
-		klog.InfoS("map not written", "cell", n.cfg.Cell, "err", err)
+		klog.InfoS("could not write the cell map", "cell", n.cfg.Cell, "err", err)
 	}
 }
 
-// readBoxes takes the platform's box list in, every few heartbeats. A list that cannot be read leaves the last one standing.
+// readBoxes reads the platform's box list every few heartbeats. After a failed read the last list stays in effect.
 func (n *Node) readBoxes(ctx context.Context, state *coordinator.State) {
-	if clock.Since(n.lastBoxes) < boxListBeats*n.cfg.Timing.Beat {
+	if clock.Since(n.lastBoxList) < boxListBeats*n.cfg.Timing.Beat {
 		return
 	}
-	n.lastBoxes = clock.Now()
+	n.lastBoxList = clock.Now()
 	boxes, err := n.cfg.API.Boxes(ctx)
 	if err != nil {
 		n.cfg.Scope.Counter("box_list_failures").Inc(1)
@@ -176,79 +180,80 @@
 	state.Leaving(leaving)
 }
 
-// quarantined returns the requests that the cell map is to name.
-func (n *Node) quarantined() []quarantine.Held {
+// quarantinedRequests returns the requests to list in the cell map.
+func (n *Node) quarantinedRequests() []quarantine.Held {
 	if n.cfg.Quarantine == nil {
 		return nil
 	}
 	return n.cfg.Quarantine.ToPublish()
 }
 
-// nextMap lets time pass in the coordinator's state and returns the map that follows.
+// nextMap advances the coordinator's state to the present time and returns the resulting map.
 func (n *Node) nextMap(state *coordinator.State) coordinator.Map {
 	engines := n.cellEngines()
-	held := n.quarantined()
+	quarantined := n.quarantinedRequests()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	state.Tick(clock.Now(), engines)
 	m := state.Map()
-	m.Quarantined = held
+	m.Quarantined = quarantined
 	return m
 }
 
-// publish writes the map if it differs from the stored one. Writing conditionally on the last map keeps out a coordinator that was replaced.
-func (n *Node) publish(ctx context.Context, state *coordinator.State) error {
+// publishMap writes the map if it differs from the stored one. The write is conditional on the last map, which stops a replaced coordinator
+// from overwriting the map of its successor.
+func (n *Node) publishMap(ctx context.Context, state *coordinator.State) error {
 	m := n.nextMap(state)
-	if state.Collecting(clock.Now()) || sameMap(m, n.published) {
+	if state.Collecting(clock.Now()) || equalMaps(m, n.publishedMap) {
 		return nil
 	}
-	// In a new era of the store the generations of before may have been lost with it.
-	first := int64(objects.At(lease.EraOf(m.Lease), 0))
-	m.Generation = max(first, n.published.Generation, n.cfg.Catalog.Generation(coordinator.MapKind, n.cfg.Cell)) + 1
+	// After a change of the store's era the latest generations may be lost. Generations therefore start above all those of the earlier era.
+	firstGeneration := int64(objects.At(lease.EraOf(m.Lease), 0))
+	m.Generation = max(firstGeneration, n.publishedMap.Generation, n.cfg.Catalog.Generation(coordinator.MapKind, n.cfg.Cell)) + 1
 	value, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
-	version, err := n.cfg.API.Put(ctx, coordinator.MapKind, n.cfg.Cell, n.mapVersion, value)
+	version, err := n.cfg.API.Put(ctx, coordinator.MapKind, n.cfg.Cell, n.publishedVersion, value)
 	if errors.Is(err, objects.ErrAnswerLost) || errors.Is(err, objects.ErrConflict) {
-		m, version, err = n.settleMap(ctx)
+		m, version, err = n.resolveMapWrite(ctx)
 	}
 	if errors.Is(err, objects.ErrConflict) {
-		klog.InfoS("map written by another coordinator", "cell", n.cfg.Cell, "lease", m.Lease)
-		n.setTenure(nil)
+		klog.InfoS("cell map was written by another coordinator", "cell", n.cfg.Cell, "lease", m.Lease)
+		n.updateLeaseView(nil)
 	}
 	if err != nil {
 		return err
 	}
-	if version == n.mapVersion {
-		// It did not take effect.
+	if version == n.publishedVersion {
+		// The write did not take effect.
 		return objects.ErrUnavailable
 	}
-	n.stored(state, m, version)
+	n.recordStoredMap(state, m, version)
 	return nil
 }
 
-// stored takes in that a map of this coordinator is stored: the newest, or an earlier one that was thought lost.
-func (n *Node) stored(state *coordinator.State, m coordinator.Map, version objects.Position) {
-	before, first := n.published, n.published.Lease != m.Lease
-	n.mapVersion, n.published = version, m
+// recordStoredMap records that a map of this coordinator is stored: the newest one, or an earlier one whose write seemed to have failed.
+func (n *Node) recordStoredMap(state *coordinator.State, m coordinator.Map, version objects.Position) {
+	before, isFirst := n.publishedMap, n.publishedMap.Lease != m.Lease
+	n.publishedVersion, n.publishedMap = version, m
 	n.cfg.Scope.Counter("map_writes").Inc(1)
-	if first {
-		n.lapsed = ""
-		n.unheardUntil = clock.Now().Add(unheardBeats*n.cfg.Timing.Beat + time.Millisecond)
+	if isFirst {
+		n.lapsedHolder = ""
+		n.takeoverGraceEnd = clock.Now().Add(takeoverGraceBeats*n.cfg.Timing.Beat + time.Millisecond)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.logStandings(before, m, state)
+	n.logVisibilityChanges(before, m, state)
 	state.Published(clock.Now(), m)
-	n.mapStored = version
+	n.historyVersion = version
 	n.history.Set(m)
 }
 
-// settleMap reads the map back when it is not known whether a write took effect, or when the stored map is not the one that was expected.
-// One of this coordinator's own, written before and thought lost, is as good as published: only another coordinator's ends this one's,
-// as giving up means to forget who is there.
-func (n *Node) settleMap(ctx context.Context) (coordinator.Map, objects.Position, error) {
+// resolveMapWrite reads the map back when the result of a write is unknown or the stored map is not the expected one. If this coordinator
+// wrote the stored map earlier, without an answer, the map counts as published. Only a map of another coordinator ends this coordinator's
+// tenure, because ending it discards the knowledge of which boxes are present.
+func (n *Node) resolveMapWrite(ctx context.Context) (coordinator.Map, objects.Position, error) {
 	m, version, err := readMap(ctx, n.cfg.API, n.cfg.Cell)
 	if err != nil {
 		return m, 0, err
@@ -259,13 +264,13 @@
 	return m, version, nil
 }
 
-func sameMap(a, b coordinator.Map) bool {
+func equalMaps(a, b coordinator.Map) bool {
 	return a.Cell == b.Cell && a.Lease == b.Lease && a.Coordinator == b.Coordinator &&
 		slices.Equal(a.Members, b.Members) && slices.Equal(a.Owners, b.Owners) && slices.Equal(a.Leaving, b.Leaving) &&
 		slices.Equal(a.Quarantined, b.Quarantined)
 }
 
-// cellEngines returns the declared engines of the cell, ordered by name.
+// cellEngines returns the declared engines of the cell, sorted by name.
 func (n *Node) cellEngines() []coordinator.Engine {
 	var engines []coordinator.Engine
 	for name, e := range n.cfg.Catalog.Topology().Engines {
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -15,21 +15,21 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// newLargeCluster returns a cell of hundreds of boxes in four availability zones, with an engine for every three of them.
+// newLargeCluster returns a cell of many boxes in four availability zones, with one engine for every three boxes.
 func newLargeCluster(t *testing.T, boxes int) *cluster {
 	cl := newTimedCluster(t, 0, boxes/3, 4*time.Millisecond, routedTiming())
 	cl.zones = []string{"hall-a", "hall-b", "hall-c", "hall-d"}
-	cl.spread = &spread{}
+	cl.spread = &fakeSpread{}
 	for i := range boxes {
-		cl.start(fmt.Sprintf("box-%03d", i), i)
+		cl.startBox(fmt.Sprintf("box-%03d", i), i)
 	}
 	return cl
 }
 
-// aggregators returns those that the boxes use, with the boxes that use them.
+// aggregators returns the names of the aggregators in use, each with the boxes that use it.
 func (cl *cluster) aggregators() map[string][]string {
 	used := map[string][]string{}
-	for _, n := range cl.list() {
+	for _, n := range cl.runningNodes() {
 		m, _, _ := n.catalog.Map(cell)
 		if all := aggregator.Choose(m, n.name, n.zone); len(all) > 0 {
 			used[all[0].Box] = append(used[all[0].Box], n.name)
@@ -38,18 +38,18 @@
 	return used
 }
 
-// heard returns how many messages the busiest box got in a second, over some time.
-func (cl *cluster) heard(over time.Duration) float64 {
+// busiestRate returns the messages per second that the busiest box receives, measured over a period.
+func (cl *cluster) busiestRate(period time.Duration) float64 {
 	before := map[string]int{}
-	for _, n := range cl.list() {
+	for _, n := range cl.runningNodes() {
 		before[n.name] = cl.receivedBy(n)
 	}
-	time.Sleep(over)
-	most := 0
-	for _, n := range cl.list() {
-		most = max(most, cl.receivedBy(n)-before[n.name])
+	time.Sleep(period)
+	maxReceived := 0
+	for _, n := range cl.runningNodes() {
+		maxReceived = max(maxReceived, cl.receivedBy(n)-before[n.name])
 	}
-	return float64(most) / over.Seconds()
+	return float64(maxReceived) / period.Seconds()
 }
 
 func (cl *cluster) receivedBy(n *node) int {
@@ -58,30 +58,31 @@
 	return n.received
 }
 
-// TestBusiestBoxHearsABoundedNumber: the pattern is a calm cell, from 30 to 400 boxes. All-to-one heartbeats are 1,000 messages a second at
-// 400 boxes; the grounds for the bound are 2.5 heartbeats a second of at most twice the square root of the boxes, as a hash shares them out.
-func TestBusiestBoxHearsABoundedNumber(t *testing.T) {
-	const growth = 0.5
-	var least float64
+// TestBusiestBoxMessageRateIsBounded checks the load of the busiest box in a cell without faults, from 30 to 400 boxes. If all boxes sent
+// their heartbeats to one box, it would receive 1,000 messages per second at 400 boxes. The bound follows from 2.5 heartbeats per second
+// from at most twice as many boxes as the square root of the cell's size, because the hash does not distribute boxes evenly.
+func TestBusiestBoxMessageRateIsBounded(t *testing.T) {
+	const growthExponent = 0.5
+	var smallestRate float64
 	for _, boxes := range []int{30, 100, 400} {
 		synctest.Test(t, func(t *testing.T) {
 			cl := newLargeCluster(t, boxes)
-			defer cl.end()
+			defer cl.stopAll()
 			time.Sleep(10 * time.Second)
-			rate := cl.heard(10 * time.Second)
-			t.Logf("%d boxes: the busiest hears %.1f messages a second, fan-in %d", boxes, rate, aggregator.FanIn(boxes))
-			if least == 0 {
-				least = rate
+			rate := cl.busiestRate(10 * time.Second)
+			t.Logf("%d boxes: the busiest box receives %.1f messages per second, fan-in %d", boxes, rate, aggregator.FanIn(boxes))
+			if smallestRate == 0 {
+				smallestRate = rate
 			}
 			cl.c.Check(rate < 2*2.5*float64(aggregator.FanIn(boxes))+5, qt.IsTrue)
-			cl.c.Check(rate <= least*math.Pow(float64(boxes)/30, growth), qt.IsTrue)
-			cl.c.Check(cl.owned(), qt.Equals, boxes/3)
+			cl.c.Check(rate <= smallestRate*math.Pow(float64(boxes)/30, growthExponent), qt.IsTrue)
+			cl.c.Check(cl.countOwned(), qt.Equals, boxes/3)
 		})
 	}
 }
 
-// newestMap returns the map that is stored.
-func (cl *cluster) newestMap() coordinator.Map {
+// storedMap returns the cell map in the store.
+func (cl *cluster) storedMap() coordinator.Map {
 	o, err := cl.platform.Get(cl.c.Context(), coordinator.MapKind, cell)
 	cl.c.Assert(err, qt.IsNil)
 	var m coordinator.Map
@@ -95,17 +96,17 @@
 	return cl.nodes[name]
 }
 
-// hiddenDuring counts the boxes that are there and that the newest map has shown as silent or not at all at some time.
-func (cl *cluster) hiddenDuring(d time.Duration, lost []string) int {
+// countHidden counts the running boxes that the stored map shows as silent or lacks at any time during d, other than those in lost.
+func (cl *cluster) countHidden(d time.Duration, lost []string) int {
 	hidden := map[string]bool{}
-	for began := time.Now(); time.Since(began) < d; {
-		cl.run(100 * time.Millisecond)
-		m := cl.newestMap()
+	for start := time.Now(); time.Since(start) < d; {
+		cl.advance(100 * time.Millisecond)
+		m := cl.storedMap()
 		shown := map[string]bool{}
 		for _, b := range m.Members {
 			shown[b.Box] = !b.Silent
 		}
-		for _, n := range cl.list() {
+		for _, n := range cl.runningNodes() {
 			if !shown[n.name] && !slices.Contains(lost, n.name) {
 				hidden[n.name] = true
 			}
@@ -114,23 +115,23 @@
 	return len(hidden)
 }
 
-// TestLostAggregators: the pattern is a cell of 120 boxes that loses aggregators in each of the ways that boxes are lost. Nobody else may be
-// hidden from callers for it, every engine that the lost boxes did not own keeps its owner, and no two boxes ever have authority over one.
+// TestLostAggregators checks the loss of aggregators of a cell with 120 boxes, in each of the ways in which boxes are lost. No other box may be
+// hidden from callers, engines of other boxes keep their owners, and no two boxes ever have authority over the same engine.
 func TestLostAggregators(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		lose func(cl *cluster, n *node)
 	}{
-		{"killed", func(cl *cluster, n *node) { cl.kill(n.name) }},
+		{"killed", func(cl *cluster, n *node) { cl.killBox(n.name) }},
 		{"frozen", func(_ *cluster, n *node) { n.freeze() }},
-		{"cut off from boxes", func(_ *cluster, n *node) { n.cut(false, true) }},
-		{"cut off from the store", func(_ *cluster, n *node) { n.cut(true, false) }},
+		{"disconnected from boxes", func(_ *cluster, n *node) { n.setDisconnected(false, true) }},
+		{"disconnected from the store", func(_ *cluster, n *node) { n.setDisconnected(true, false) }},
 	} {
 		for _, count := range []int{1, 3} {
 			t.Run(fmt.Sprintf("%s, %d", test.name, count), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					cl := newLargeCluster(t, 120)
-					defer cl.end()
+					defer cl.stopAll()
 					time.Sleep(15 * time.Second)
 					var lost []string
 					for name := range cl.aggregators() {
@@ -142,25 +143,25 @@
 					for _, name := range lost {
 						test.lose(cl, cl.nodeNamed(name))
 					}
-					cl.c.Check(cl.hiddenDuring(6*time.Second, lost), qt.Equals, 0)
-					for _, n := range cl.list() {
+					cl.c.Check(cl.countHidden(6*time.Second, lost), qt.Equals, 0)
+					for _, n := range cl.runningNodes() {
 						n.thaw()
-						n.cut(false, false)
+						n.setDisconnected(false, false)
 					}
-					cl.until(20*time.Second, func() bool { return cl.owned() == len(cl.engines) })
-					cl.check()
+					cl.waitUntil(20*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
+					cl.checkInvariants()
 				})
 			})
 		}
 	}
 }
 
-// TestLargeLosses: the patterns are losses at once of a tenth, a fifth and half of 120 boxes, of a zone, and of the coordinator with all
-// aggregators. Every engine has one owner again within a term and the gap between two owners' orders, and one at a time.
-func TestLargeLosses(t *testing.T) {
+// TestLossOfManyBoxes checks the simultaneous loss of a tenth, a fifth and half of 120 boxes, of a zone, and of the coordinator with all
+// aggregators. Every engine has an owner again within a term and the order gap between two owners, and never more than one owner.
+func TestLossOfManyBoxes(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		lost func(cl *cluster, n *node, i int) bool
+		name   string
+		isLost func(cl *cluster, n *node, i int) bool
 	}{
 		{"a tenth", func(_ *cluster, _ *node, i int) bool { return i%10 == 0 }},
 		{"a fifth", func(_ *cluster, _ *node, i int) bool { return i%5 == 0 }},
@@ -173,72 +174,72 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cl := newLargeCluster(t, 120)
-				defer cl.end()
+				defer cl.stopAll()
 				time.Sleep(15 * time.Second)
 				var lost []string
-				for i, n := range cl.list() {
-					if test.lost(cl, n, i) {
+				for i, n := range cl.runningNodes() {
+					if test.isLost(cl, n, i) {
 						lost = append(lost, n.name)
 					}
 				}
 				for _, name := range lost {
-					cl.kill(name)
+					cl.killBox(name)
 				}
-				took := cl.until(20*time.Second, func() bool { return cl.owned() == len(cl.engines) })
+				took := cl.waitUntil(20*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
 				t.Logf("%d boxes lost: all engines owned after %s", len(lost), took)
-				cl.check()
+				cl.checkInvariants()
 			})
 		})
 	}
 }
 
-// TestThawedAggregatorRevivesNobody: the pattern is a box that loses power while its aggregator stands still with heartbeats of it. What the
-// aggregator reads when it goes on is seconds old and must not make the coordinator take the box for alive.
-func TestThawedAggregatorRevivesNobody(t *testing.T) {
+// TestThawedAggregatorForwardsNoStaleHeartbeats covers a box that loses power while its aggregator is frozen and holds heartbeats of that box.
+// What the thawed aggregator reads is seconds old. It must not make the coordinator count the lost box as present.
+func TestThawedAggregatorForwardsNoStaleHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newLargeCluster(t, 120)
-		defer cl.end()
+		defer cl.stopAll()
 		time.Sleep(15 * time.Second)
-		var via, lost string
+		var aggregatorName, lost string
 		for name, boxes := range cl.aggregators() {
 			for _, box := range boxes {
 				if box != name && name != cl.coordinator().name {
-					via, lost = name, box
+					aggregatorName, lost = name, box
 				}
 			}
 		}
-		stale := cl.nodeNamed(lost)
-		last := stale.lastBeat()
-		cl.nodeNamed(via).freeze()
-		cl.kill(lost)
+		lostNode := cl.nodeNamed(lost)
+		last := lostNode.lastBeat()
+		cl.nodeNamed(aggregatorName).freeze()
+		cl.killBox(lost)
 		time.Sleep(4 * time.Second)
-		aggregating := cl.nodeNamed(via)
-		aggregating.thaw()
-		// It may read this after it has found out that it stood still, or before.
+		thawedNode := cl.nodeNamed(aggregatorName)
+		thawedNode.thaw()
+		// The aggregator may read this heartbeat before or after it has detected its own stall.
 		last.PassOn, last.Sequence = true, last.Sequence+1
 		cl.group.Go(func() error {
-			_, err := aggregating.Receive(cl.c.Context(), last)
+			_, err := thawedNode.Receive(cl.c.Context(), last)
 			cl.c.Check(err, qt.IsNotNil)
 			return nil
 		})
 		for range 30 {
-			cl.run(100 * time.Millisecond)
-			for _, b := range cl.newestMap().Members {
-				cl.c.Check(b.Box == lost && !b.Silent, qt.IsFalse, qt.Commentf("%s is shown", lost))
+			cl.advance(100 * time.Millisecond)
+			for _, b := range cl.storedMap().Members {
+				cl.c.Check(b.Box == lost && !b.Silent, qt.IsFalse, qt.Commentf("map shows the lost box %s", lost))
 			}
 		}
 	})
 }
 
-// TestLastHeartbeatWaitsForNobody: the pattern is a planned stop in a large cell. A box that ends has half a second to give its engines up; its
-// last heartbeat goes straight to the coordinator.
-func TestLastHeartbeatWaitsForNobody(t *testing.T) {
+// TestFinalHeartbeatBypassesAggregator covers a planned stop in a large cell. A stopping box has half a second to give up its engines, so it
+// sends its last heartbeat directly to the coordinator.
+func TestFinalHeartbeatBypassesAggregator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newLargeCluster(t, 120)
-		defer cl.end()
+		defer cl.stopAll()
 		time.Sleep(15 * time.Second)
 		var leaver *node
-		for _, n := range cl.list() {
+		for _, n := range cl.runningNodes() {
 			if n.ownedCount() > 0 && n.name != cl.coordinator().name {
 				leaver = n
 			}
@@ -246,12 +247,12 @@
 		leaver.Leave()
 		time.Sleep(2 * time.Second)
 		cl.c.Check(leaver.lastBeat().PassOn, qt.IsTrue)
-		cl.kill(leaver.name)
+		cl.killBox(leaver.name)
 		time.Sleep(100 * time.Millisecond)
 		last := leaver.lastBeat()
 		cl.c.Check(last.PassOn, qt.IsFalse)
 		cl.c.Check(last.Released, qt.Not(qt.HasLen), 0)
-		cl.until(10*time.Second, func() bool { return cl.owned() == len(cl.engines) })
-		cl.check()
+		cl.waitUntil(10*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
+		cl.checkInvariants()
 	})
 }
--- a/internal/member/lost_test.go
+++ b/internal/member/lost_test.go
@@ -17,26 +17,30 @@
 	"github.com/bellgap/bellgap/internal/member"
 )
 
-// namedFor is the longest that callers may be sent to a lost box by the cell maps of the others: the box may go unnoticed for 1.2 s before
-// the coordinator is lost, the next looks at the lease 1.1 s later (a heartbeat and its time limit), takes it when it has stood for 2 s,
-// 0.4 s later if the lost box would have gone first, and hides what it has not heard 0.8 s after that; 0.1 s for calls and for this look.
-const namedFor = 5600 * time.Millisecond
+// maxShownTime is the longest time for which the maps of other boxes may show a lost box, so that callers are still sent to it. It adds up:
+//   - 1.2 s in which the coordinator may not notice the lost box before it is lost itself,
+//   - 1.1 s until the next box checks the lease (a heartbeat and its time limit),
+//   - 2 s for which the lease has to stand unchanged before that box takes it,
+//   - 0.4 s more if the lost box was the first candidate for the lease,
+//   - 0.8 s until the new coordinator hides the boxes that have sent no heartbeat,
+//   - 0.1 s for calls and for the interval between two observations.
+const maxShownTime = 5600 * time.Millisecond
 
-// newCalmCluster returns six boxes that serve routes, well after their start; the seed shifts what follows against their heartbeats.
-func newCalmCluster(t *testing.T, answer time.Duration, seed int) *cluster {
-	cl := newTimedCluster(t, 6, 6, answer, routedTiming())
-	cl.settle()
-	cl.run(20*time.Second + time.Duration(seed)*137*time.Millisecond)
+// newCalmCluster returns six boxes that serve routes, long after their start. The seed shifts later events relative to the heartbeats.
+func newCalmCluster(t *testing.T, answerTime time.Duration, seed int) *cluster {
+	cl := newTimedCluster(t, 6, 6, answerTime, routedTiming())
+	cl.waitForOwners()
+	cl.advance(20*time.Second + time.Duration(seed)*137*time.Millisecond)
 	return cl
 }
 
-// TestLostBoxIsNotNamedForLong: a box is lost, and the coordinator before or after it, so that nobody may have noticed the silence of the
-// box yet. Callers are not sent to either for long, and to all who are there all the time.
-func TestLostBoxIsNotNamedForLong(t *testing.T) {
+// TestLostBoxIsHiddenInTime loses a box and, before or after it, the coordinator, so that no box may have noticed the silence of the first one
+// yet. The maps have to hide both boxes in time and must never hide a running box.
+func TestLostBoxIsHiddenInTime(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// boxFirst is how long after the box the coordinator is lost, coordinatorFirst the other way round.
-		boxFirst, coordinatorFirst time.Duration
+		// coordinatorDelay is how long after the box the coordinator is lost. boxDelay is the delay in the opposite order.
+		coordinatorDelay, boxDelay time.Duration
 	}{
 		{"both at once", 0, 0},
 		{"the coordinator 0.4 s later", 400 * time.Millisecond, 0},
@@ -51,46 +55,46 @@
 			for seed := range 4 {
 				synctest.Test(t, func(t *testing.T) {
 					cl := newCalmCluster(t, 4*time.Millisecond, seed)
-					defer cl.end()
-					lost := cl.lose(tt.boxFirst, tt.coordinatorFirst)
-					named, hidden := cl.watchNamed(lost, 12*time.Second)
+					defer cl.stopAll()
+					lost := cl.freezeBoxAndCoordinator(tt.coordinatorDelay, tt.boxDelay)
+					shownFor, hidden := cl.observeMaps(lost, 12*time.Second)
 					for _, box := range lost {
-						c.Check(named[box.name] <= namedFor, qt.IsTrue, qt.Commentf("seed %d: %s is named for %s", seed, box.name, named[box.name]))
+						c.Check(shownFor[box.name] <= maxShownTime, qt.IsTrue, qt.Commentf("seed %d: lost box %s is shown for %s", seed, box.name, shownFor[box.name]))
 					}
-					c.Check(hidden, qt.Equals, 0, qt.Commentf("seed %d: boxes that are there are hidden", seed))
+					c.Check(hidden, qt.Equals, 0, qt.Commentf("seed %d: running boxes are hidden", seed))
 				})
 			}
 		})
 	}
 }
 
-// TestLostBoxIsNotNamedWhileTheCoordinatorIsDisturbed: a box is lost while the box that coordinates is disturbed in another way.
-func TestLostBoxIsNotNamedWhileTheCoordinatorIsDisturbed(t *testing.T) {
+// TestLostBoxIsHiddenDuringCoordinatorFault loses a box while the coordinator has a different fault.
+func TestLostBoxIsHiddenDuringCoordinatorFault(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// disturb is done to the coordinator once the box is lost.
+		// disturb injects a fault into the coordinator after the loss of the box.
 		disturb func(cl *cluster, n *node)
 	}{
-		{"starts again once the box is silent", func(cl *cluster, n *node) {
+		{"coordinator restarts after the box is silent", func(cl *cluster, n *node) {
 			time.Sleep(5 * time.Second)
 			cl.restart(n)
 		}},
-		{"starts again before that", func(cl *cluster, n *node) {
+		{"coordinator restarts before the box is silent", func(cl *cluster, n *node) {
 			time.Sleep(time.Second)
 			cl.restart(n)
 		}},
-		{"starts again and again", func(cl *cluster, n *node) {
+		{"coordinator restarts repeatedly", func(cl *cluster, n *node) {
 			for range 5 {
 				time.Sleep(time.Second)
 				n = cl.restart(n)
 			}
 		}},
-		{"is apart from the platform", func(_ *cluster, n *node) { n.cut(true, false) }},
-		{"hears no answers of the platform for a while", func(_ *cluster, n *node) {
+		{"coordinator is disconnected from the platform", func(_ *cluster, n *node) { n.setDisconnected(true, false) }},
+		{"coordinator receives no answers from the platform for some time", func(_ *cluster, n *node) {
 			time.Sleep(2 * time.Second)
-			n.setUnanswered(true)
+			n.setDropsAnswers(true)
 			time.Sleep(1500 * time.Millisecond)
-			n.setUnanswered(false)
+			n.setDropsAnswers(false)
 		}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
@@ -98,102 +102,103 @@
 			for seed := range 4 {
 				synctest.Test(t, func(t *testing.T) {
 					cl := newCalmCluster(t, 4*time.Millisecond, seed)
-					defer cl.end()
+					defer cl.stopAll()
 					holder := cl.coordinator()
-					lost := lostBox{cl.other(holder).name, time.Now()}
+					lost := lostBox{cl.otherNode(holder).name, time.Now()}
 					cl.nodes[lost.name].freeze()
 					var group errgroup.Group
 					group.Go(func() error {
 						tt.disturb(cl, holder)
 						return nil
 					})
-					named, _ := cl.watchNamed([]lostBox{lost}, 15*time.Second)
+					shownFor, _ := cl.observeMaps([]lostBox{lost}, 15*time.Second)
 					c.Check(group.Wait(), qt.IsNil)
-					c.Check(named[lost.name] <= namedFor, qt.IsTrue, qt.Commentf("seed %d: %s is named for %s", seed, lost.name, named[lost.name]))
+					c.Check(shownFor[lost.name] <= maxShownTime, qt.IsTrue, qt.Commentf("seed %d: lost box %s is shown for %s", seed, lost.name, shownFor[lost.name]))
 				})
 			}
 		})
 	}
 }
 
-// lostBox is a box without power.
+// lostBox is a box that has lost power.
 type lostBox struct {
 	name string
 	at   time.Time
 }
 
-// lose takes the power from a box and from the coordinator, one a time after the other.
-func (cl *cluster) lose(boxFirst, coordinatorFirst time.Duration) []lostBox {
+// freezeBoxAndCoordinator freezes a box and the coordinator, which has the effect of a power loss. One of the two times is zero: the other is
+// the delay between both losses and decides their order.
+func (cl *cluster) freezeBoxAndCoordinator(coordinatorDelay, boxDelay time.Duration) []lostBox {
 	second := cl.coordinator()
-	first := cl.other(second)
-	if coordinatorFirst > 0 {
+	first := cl.otherNode(second)
+	if boxDelay > 0 {
 		first, second = second, first
 	}
 	lost := []lostBox{{first.name, time.Now()}}
 	first.freeze()
-	time.Sleep(max(boxFirst, coordinatorFirst))
+	time.Sleep(max(coordinatorDelay, boxDelay))
 	second.freeze()
 	return append(lost, lostBox{second.name, time.Now()})
 }
 
-// other returns a box that is not n.
-func (cl *cluster) other(n *node) *node {
-	all := cl.list()
+// otherNode returns a box other than n.
+func (cl *cluster) otherNode(n *node) *node {
+	all := cl.runningNodes()
 	return all[slices.IndexFunc(all, func(o *node) bool { return o != n })]
 }
 
-// restart ends a box and returns its next process, which starts half a second later.
+// restart ends a box and starts it again half a second later. It returns the new process.
 func (cl *cluster) restart(n *node) *node {
-	cl.kill(n.name)
+	cl.killBox(n.name)
 	time.Sleep(500 * time.Millisecond)
 	address := netip.MustParseAddrPort(n.address)
-	cl.start(n.name, int(address.Port())-firstPort)
+	cl.startBox(n.name, int(address.Port())-firstPort)
 	return cl.nodes[n.name]
 }
 
-// watchNamed looks for a time at what the others' maps show, and returns how long after its loss a box was still shown and how often a
-// box that is there was not.
-func (cl *cluster) watchNamed(lost []lostBox, d time.Duration) (named map[string]time.Duration, hidden int) {
-	const every = 50 * time.Millisecond
-	at := map[string]time.Time{}
+// observeMaps observes the maps of the running boxes for a time d. It returns how long after its loss each lost box was still shown, and how
+// often a running box was hidden.
+func (cl *cluster) observeMaps(lost []lostBox, d time.Duration) (shownFor map[string]time.Duration, hidden int) {
+	const interval = 50 * time.Millisecond
+	lostAt := map[string]time.Time{}
 	for _, b := range lost {
-		at[b.name] = b.at
+		lostAt[b.name] = b.at
 	}
-	named = map[string]time.Duration{}
-	for waited := time.Duration(0); waited < d; waited += every {
-		time.Sleep(every)
-		for _, n := range cl.list() {
-			if _, gone := at[n.name]; gone || n.isCut() {
+	shownFor = map[string]time.Duration{}
+	for elapsed := time.Duration(0); elapsed < d; elapsed += interval {
+		time.Sleep(interval)
+		for _, n := range cl.runningNodes() {
+			if _, gone := lostAt[n.name]; gone || n.isDisconnected() {
 				continue
 			}
 			m, _, _ := n.catalog.Map(cell)
 			for _, b := range m.Members {
-				since, gone := at[b.Box]
+				since, gone := lostAt[b.Box]
 				switch {
 				case gone && !b.Silent:
-					named[b.Box] = time.Since(since)
+					shownFor[b.Box] = time.Since(since)
 				case !gone && b.Silent:
 					hidden++
 				}
 			}
 		}
 	}
-	return named, hidden
+	return shownFor, hidden
 }
 
-// TestTakeoverHidesNobodyWhoIsThere: a coordinator is lost while the store takes its time. Boxes have to learn of the next one, read the
-// lease and be heard before that one takes them for lost.
-func TestTakeoverHidesNobodyWhoIsThere(t *testing.T) {
-	for _, answer := range []time.Duration{4 * time.Millisecond, 150 * time.Millisecond, 220 * time.Millisecond, 260 * time.Millisecond} {
-		t.Run(answer.String(), func(t *testing.T) {
+// TestTakeoverHidesNoReachableBox loses a coordinator while the store is slow. Before the new coordinator counts boxes as lost, they need
+// time to learn of it, read the lease and send it a heartbeat.
+func TestTakeoverHidesNoReachableBox(t *testing.T) {
+	for _, answerTime := range []time.Duration{4 * time.Millisecond, 150 * time.Millisecond, 220 * time.Millisecond, 260 * time.Millisecond} {
+		t.Run(answerTime.String(), func(t *testing.T) {
 			c := qt.New(t)
 			for seed := range 15 {
 				synctest.Test(t, func(t *testing.T) {
-					cl := newCalmCluster(t, answer, seed)
-					defer cl.end()
+					cl := newCalmCluster(t, answerTime, seed)
+					defer cl.stopAll()
 					lost := lostBox{cl.coordinator().name, time.Now()}
 					cl.nodes[lost.name].freeze()
-					_, hidden := cl.watchNamed([]lostBox{lost}, 10*time.Second)
+					_, hidden := cl.observeMaps([]lostBox{lost}, 10*time.Second)
 					c.Check(hidden, qt.Equals, 0, qt.Commentf("seed %d", seed))
 				})
 			}
@@ -201,23 +206,23 @@
 	}
 }
 
-// TestLapsedCoordinatorIsHiddenAfterAnUnansweredTake: the write with which another box takes the lease takes effect without an answer, so that
-// it finds itself as the holder when it tries again. The box whose lease ran out is still the one that has said nothing.
-func TestLapsedCoordinatorIsHiddenAfterAnUnansweredTake(t *testing.T) {
-	for _, unanswered := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
-		t.Run(unanswered.String(), func(t *testing.T) {
+// TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover covers a box that takes the lease with a write that takes effect without an answer. The
+// box finds itself as the holder when it tries again. The map must still show the former holder, whose lease expired, as silent.
+func TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover(t *testing.T) {
+	for _, dropTime := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
+		t.Run(dropTime.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cl := newCalmCluster(t, 4*time.Millisecond, 0)
-				defer cl.end()
+				defer cl.stopAll()
 				old := cl.coordinator()
 				old.freeze()
-				for cl.holder() == old.name {
+				for cl.storedLeaseHolder() == old.name {
 					time.Sleep(time.Millisecond)
 				}
-				next := cl.nodes[cl.holder()]
-				next.setUnanswered(unanswered > 0)
-				time.Sleep(unanswered)
-				next.setUnanswered(false)
+				next := cl.nodes[cl.storedLeaseHolder()]
+				next.setDropsAnswers(dropTime > 0)
+				time.Sleep(dropTime)
+				next.setDropsAnswers(false)
 				var m coordinator.Map
 				for m.Coordinator != next.name {
 					time.Sleep(time.Millisecond)
@@ -230,8 +235,8 @@
 	}
 }
 
-// holder returns the holder of the lease as it is stored.
-func (cl *cluster) holder() string {
+// storedLeaseHolder returns the holder of the lease in the store.
+func (cl *cluster) storedLeaseHolder() string {
 	var r lease.Record
 	o, err := cl.platform.Get(context.Background(), lease.Kind, member.LeaseName(cell))
 	cl.c.Assert(err, qt.IsNil)
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -1,4 +1,4 @@
-// Package member keeps one box in its cell: heartbeats, the coordinator's lease, and the grants that follow.
+// Package member implements the membership of one box in its cell: heartbeats, the coordinator's lease, and engine grants.
 package member
 
 import (
@@ -22,49 +22,49 @@
 	"github.com/bellgap/bellgap/internal/quarantine"
 )
 
-// Peers sends heartbeats to other boxes. It is an interface at the network boundary.
+// Peers sends heartbeats to other boxes. It is an interface because calls cross the network.
 type Peers interface {
 	Beat(ctx context.Context, address string, b coordinator.Beat) (coordinator.Reply, error)
 	BeatBatch(ctx context.Context, address string, b coordinator.Batch) (coordinator.BatchReply, error)
 }
 
-// Holder is what the node tells about and updates: the engines of this box.
+// Holder manages the engines of this box. The node passes it the grants and asks it which engines are released.
 type Holder interface {
 	Update(grants []coordinator.Ownership, release []string)
 	Released() (released, draining []string)
 }
 
-// Quarantine is what the cell map says of requests that reach no endpoint.
+// Quarantine provides the quarantined requests, which are kept from all endpoints and listed in the cell map.
 type Quarantine interface {
-	// ToPublish returns what the next map is to name, Inherit takes in what the last map of another coordinator named.
+	// ToPublish returns the requests to list in the next map. Inherit adopts those listed in the last map of another coordinator.
 	ToPublish() []quarantine.Held
 	Inherit(all []quarantine.Held)
 }
 
-// Timing holds the periods of membership.
+// Timing holds the periods and time limits of membership.
 type Timing struct {
 	// Beat is the time between heartbeats.
 	Beat time.Duration
 	// LeaseTTL is how long the lease is valid after a renewal.
 	LeaseTTL time.Duration
-	// Term is how long a grant is valid after its heartbeat was sent.
+	// Term is how long a grant is valid, counted from when the heartbeat for it was sent.
 	Term time.Duration
-	// Drain is how long after its term a silent box may have requests in flight.
+	// Drain is how long after the end of its term a silent box may have requests in flight.
 	Drain time.Duration
-	// SilentAfter, OrderGap and Reclaim are as in coordinator.Config.
+	// SilentAfter, OrderGap and Reclaim are passed to coordinator.Config and documented there.
 	SilentAfter time.Duration
 	OrderGap    time.Duration
 	Reclaim     bool
 }
 
-// DefaultTiming returns the periods for boxes about a millisecond apart.
+// DefaultTiming returns the periods for boxes with about a millisecond of network latency.
 func DefaultTiming() Timing {
 	return Timing{Beat: time.Second, LeaseTTL: 3 * time.Second, Term: 4 * time.Second, Drain: 10 * time.Minute}
 }
 
 // Config configures a Node.
 type Config struct {
-	// Cell names the boxes and engines that are coordinated together.
+	// Cell names the group of boxes and engines that share a coordinator.
 	Cell    string
 	Region  string
 	Self    coordinator.Member
@@ -74,98 +74,99 @@
 	Holder  Holder
 	Timing  Timing
 	Scope   tally.Scope
-	// Spread passes changes on with heartbeats; nil passes none.
+	// Spread provides the changes that are sent with heartbeats; nil sends none.
 	Spread Spread
-	// Quarantine is published with the cell map; nil publishes nothing.
+	// Quarantine provides the quarantined requests of the cell map; nil publishes none.
 	Quarantine Quarantine
-	// NewToken returns a token that no other write carries.
+	// NewToken returns a token that is unique to one write.
 	NewToken func() string
 }
 
 const (
-	// maxCandidates is how many boxes seek a free lease one after the other before all others do.
+	// maxCandidates is how many boxes try to take a free lease one after the other before all others may.
 	maxCandidates = 3
-	// earlyBeat is the part of the time between heartbeats after which one is sent early.
-	earlyBeat = 20
-	// boxListBeats is how many heartbeats lie between two reads of the platform's box list.
+	// earlyBeatDivisor divides the heartbeat period: the result is the delay before an early heartbeat.
+	earlyBeatDivisor = 20
+	// boxListBeats is the time between two reads of the platform's box list, in heartbeats.
 	boxListBeats = 2
-	// dutyShare is the part of the lease's time that one duty of a round may take.
-	dutyShare = 3
-	// seekShare is the part of the lease's time between two looks at it of a box that others go before.
-	seekShare = 2
-	// renewBelow is the part of the lease's time left below which it is renewed.
-	renewBelow = 0.7
-	// missedBeats is how many heartbeats may go unanswered before the coordinator counts as out of reach.
+	// stepDivisor divides the lease TTL: the result is the time limit of one step of a round.
+	stepDivisor = 3
+	// leaseCheckDivisor divides the lease TTL: the result is the time between two lease checks of a box that is not among the first candidates.
+	leaseCheckDivisor = 2
+	// renewThreshold is the fraction of the lease TTL: a lease with less time left is renewed.
+	renewThreshold = 0.7
+	// missedBeats is how many heartbeats may go unanswered before the coordinator counts as unreachable.
 	missedBeats = 3
-	// unheardBeats is how many heartbeats after a takeover a box may go unheard before callers are not sent to it. All boxes are told of
-	// the takeover by the map, so that they answer within one; the box may have been lost seconds before the coordinator that had not
-	// noticed it yet.
-	unheardBeats = 2
+	// takeoverGraceBeats is how many heartbeats after a takeover a box may send nothing before callers are no longer sent to it. The map
+	// notifies all boxes of the takeover, so that each sends a heartbeat within one period. A box that sends none may have been lost seconds
+	// before the old coordinator, which had not noticed the loss yet.
+	takeoverGraceBeats = 2
 )
 
 type grant struct {
 	coordinator.Ownership
-	until time.Time
-	// released says that a heartbeat has offered the engine to others: no order may follow.
+	validUntil time.Time
+	// released is set when a heartbeat has offered the engine to other boxes: this box may give it no more orders.
 	released bool
 }
 
-// Node is this box's membership of its cell.
+// Node is the membership of this box in its cell.
 type Node struct {
 	cfg  Config
 	done chan struct{}
 
-	// The fields below belong to the loop of Serve.
-	lease      *lease.Lease
-	mapVersion objects.Position
-	published  coordinator.Map
-	lastSeek   time.Time
-	lastBoxes  time.Time
-	// missed says that the last heartbeat was not answered, beatTo under which epoch of the lease it was sent.
-	missed bool
-	beatTo uint64
-	// soughtFor is the epoch of the newest lease for which the lease has been read because a map named it.
-	soughtFor uint64
-	// lapsed is the box whose lease ran out before this one took it, until a map says so.
-	lapsed string
-	// granted is what the last reply granted, basis the last heartbeat in full that was answered.
-	granted []coordinator.Ownership
-	basis   basis
-	// sequence is that of the last heartbeat.
+	// Only the loop of Serve uses the fields below.
+	lease            *lease.Lease
+	publishedVersion objects.Position
+	publishedMap     coordinator.Map
+	lastLeaseCheck   time.Time
+	lastBoxList      time.Time
+	// beatMissed is set if the last heartbeat was not answered. beatEpoch is the epoch of the lease under which that heartbeat was sent.
+	beatMissed bool
+	beatEpoch  uint64
+	// checkedLeaseEpoch is the newest epoch that a map named and for which this box has checked the lease.
+	checkedLeaseEpoch uint64
+	// lapsedHolder is the box whose lease expired before this box took it. It is cleared once a map of this coordinator is stored.
+	lapsedHolder string
+	// lastGrants holds the grants of the last reply. lastFullBeat describes the last complete heartbeat that was answered.
+	lastGrants   []coordinator.Ownership
+	lastFullBeat fullBeat
+	// sequence is the sequence number of the last heartbeat.
 	sequence uint64
-	chosen   chosen
-	// avoided holds until when the aggregators that did not answer are passed over, by peer address.
-	avoided map[string]time.Time
-	// ending says that the next heartbeat is the last one, which cannot wait for others.
-	ending bool
-	// unheardUntil is when, after a takeover, boxes that have not been heard are to be shown as silent.
-	unheardUntil time.Time
+	choice   aggregatorChoice
+	// skippedUntil holds, by peer address, until when an aggregator that did not answer is skipped.
+	skippedUntil map[string]time.Time
+	// isFinalBeat is set before the last heartbeat, which cannot wait to be forwarded in a batch.
+	isFinalBeat bool
+	// takeoverGraceEnd is when, after a takeover, boxes that have sent no heartbeat are to be shown as silent.
+	takeoverGraceEnd time.Time
 
 	mu sync.Mutex
-	// state is set while this box coordinates.
+	// state is not nil while this box coordinates.
 	state *coordinator.State
-	// tenure is what the loop last knew of the lease.
-	tenure    tenure
+	// leaseView is the state of the lease as the loop last saw it.
+	leaseView leaseSnapshot
 	grants    map[string]grant
 	leaving   bool
 	frozen    bool
 	lastReply time.Time
-	// history holds the maps that this coordinator published last, or those that this box passes on, mapStored the version of the newest.
-	history   coordinator.History
-	mapStored objects.Position
-	// aggregator names the box that passed the last heartbeat on, and passesOn is the size of the last batch, for the status.
-	aggregator string
-	passesOn   int
-	// collector holds the heartbeats that this box is to pass on.
-	collector *aggregator.Collector[waiting]
-
-	// batches holds those that are being passed on; each ends by itself. None begins once ended is set.
-	batches errgroup.Group
-	ended   bool
+	// history holds the latest maps that this coordinator published or, on other boxes, that this box sends to others. historyVersion is the
+	// version of the newest one.
+	history        coordinator.History
+	historyVersion objects.Position
+	// aggregator names the box that forwarded the last heartbeat. lastBatchSize is the size of the last batch, for the status.
+	aggregator    string
+	lastBatchSize int
+	// collector holds the heartbeats that this box is about to forward.
+	collector *aggregator.Collector[pendingBeat]
+
+	// batches holds the goroutines that forward batches. No batch begins once batchesStopped is set.
+	batches        errgroup.Group
+	batchesStopped bool
 }
 
-// tenure is the part of the lease that others than the loop read.
-type tenure struct {
+// leaseSnapshot is the part of the lease state that is read outside the loop.
+type leaseSnapshot struct {
 	record     lease.Record
 	version    objects.Position
 	validUntil time.Time
@@ -174,57 +175,57 @@
 // LeaseName returns the name of a cell's coordinator lease.
 func LeaseName(cell string) string { return "cell-" + cell }
 
-// New returns a Node; its Serve has to run.
+// New returns a Node. The caller has to run its Serve.
 func New(cfg Config) *Node {
 	l := lease.New(lease.Config{
 		API: cfg.API, Name: LeaseName(cfg.Cell), Holder: cfg.Self.Box, Address: cfg.Self.Peer.String(),
 		TTL: cfg.Timing.LeaseTTL, NewToken: cfg.NewToken, Reclaim: cfg.Timing.Reclaim,
 	})
 	return &Node{
-		cfg: cfg, done: make(chan struct{}), lease: l, grants: map[string]grant{}, avoided: map[string]time.Time{},
-		collector: aggregator.NewCollector[waiting](aggregator.CollectorConfig{Window: cfg.Timing.Beat / windowShare, StallAfter: cfg.Timing.Beat}),
+		cfg: cfg, done: make(chan struct{}), lease: l, grants: map[string]grant{}, skippedUntil: map[string]time.Time{},
+		collector: aggregator.NewCollector[pendingBeat](aggregator.CollectorConfig{Window: cfg.Timing.Beat / windowDivisor, StallAfter: cfg.Timing.Beat}),
 	}
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended.
 func (n *Node) Done() <-chan struct{} { return n.done }
 
-// Status is what a Node shows of itself.
+// Status is the state of a Node as shown to operators.
 type Status struct {
 	Cell        string `json:"cell"`
 	Coordinator string `json:"coordinator"`
 	Coordinates bool   `json:"coordinates"`
-	// Frozen says that the coordinator cannot renew its lease: no engine changes hands.
+	// Frozen is set if the coordinator cannot renew its lease: no engine changes its owner.
 	Frozen bool `json:"frozen"`
-	// SinceReply is the time since the coordinator last answered.
+	// SinceReply is the time since the last reply of the coordinator.
 	SinceReply time.Duration `json:"since_reply"`
-	// Aggregator names the box that passes this one's heartbeats on, empty if they go straight to the coordinator.
+	// Aggregator names the box that forwards this box's heartbeats. It is empty if they are sent directly to the coordinator.
 	Aggregator string `json:"aggregator,omitempty"`
-	// PassesOn is how many heartbeats were in the last batch that this box passed on.
+	// PassesOn is the number of heartbeats in the last batch that this box forwarded.
 	PassesOn int  `json:"passes_on,omitempty"`
 	Leaving  bool `json:"leaving"`
 }
 
-// Status returns what the node shows of itself.
+// Status returns the present state of the node.
 func (n *Node) Status() Status {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := clock.Now()
 	return Status{
-		Cell: n.cfg.Cell, Coordinator: n.tenure.record.Holder, Coordinates: now.Before(n.tenure.validUntil),
+		Cell: n.cfg.Cell, Coordinator: n.leaseView.record.Holder, Coordinates: now.Before(n.leaseView.validUntil),
 		Frozen: n.frozen, SinceReply: now.Sub(n.lastReply), Leaving: n.leaving,
-		Aggregator: n.aggregator, PassesOn: n.passesOn,
+		Aggregator: n.aggregator, PassesOn: n.lastBatchSize,
 	}
 }
 
-// Leave makes every further heartbeat say that this box is leaving.
+// Leave marks this box as leaving in all further heartbeats.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.leaving = true
 }
 
-// Leaving reports whether this box is leaving, by its own word or by the platform's box list.
+// Leaving reports whether this box is leaving: Leave was called, or the platform's box list marks the box as leaving.
 func (n *Node) Leaving() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 	n.mu.Lock()
@@ -232,7 +233,7 @@
 	return n.leaving || slices.Contains(m.Leaving, n.cfg.Self.Box)
 }
 
-// Authority returns the epoch under which this box may give the engine orders, and whether it may now.
+// Authority returns the epoch under which this box may give orders to the engine, and whether it may do so at the given time.
 func (n *Node) Authority(engine string, now time.Time) (uint64, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -240,56 +241,56 @@
 	if !ok || g.released {
 		return 0, false
 	}
-	if now.Before(g.until) {
+	if now.Before(g.validUntil) {
 		return g.Epoch, true
 	}
-	// An engine that checks orders settles by itself who its owner is.
+	// An engine that checks the epoch of orders rejects those of a former owner itself.
 	e, declared := n.cfg.Catalog.Engine(engine)
 	return g.Epoch, declared && e.ChecksOrders
 }
 
-// Serve beats and, while it holds the lease, coordinates, until ctx ends.
+// Serve sends heartbeats until ctx ends, and coordinates the cell while this box holds the lease.
 func (n *Node) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, n.done)
-	n.awaitTurn(ctx)
+	n.delayFirstRound(ctx)
 	for ctx.Err() == nil {
-		n.round(ctx)
-		n.rest(ctx)
+		n.runRound(ctx)
+		n.waitForNextRound(ctx)
 	}
-	n.giveUp(ctx)
-	n.endBatches()
+	n.releaseAuthority(ctx)
+	n.stopBatches()
 	return ctx.Err()
 }
 
-// awaitTurn spreads the boxes of a cell that starts for the first time over one heartbeat, so that most of them find a coordinator
-// and do not all write the lease at once. A cell that has a map has a coordinator or an order of those who seek its lease.
-func (n *Node) awaitTurn(ctx context.Context) {
+// delayFirstRound spreads the first heartbeats of a new cell's boxes over one period, so that most boxes find a coordinator and do not all
+// write the lease at once. No delay is needed in a cell that has a map: it has a coordinator, or the map orders the candidates for the lease.
+func (n *Node) delayFirstRound(ctx context.Context) {
 	if _, _, known := n.cfg.Catalog.Map(n.cfg.Cell); !known {
 		part.Sleep(ctx, rand.N(n.cfg.Timing.Beat))
 	}
 }
 
-// giveUp ends this box's authority when it leaves, so that no other box has to wait for it to run out.
-func (n *Node) giveUp(ctx context.Context) {
+// releaseAuthority gives up the engines and the lease of a leaving box, so that other boxes need not wait for them to expire.
+func (n *Node) releaseAuthority(ctx context.Context) {
 	if n.Leaving() && n.cfg.Timing.Reclaim {
-		n.releaseAll()
-		n.ending = true
-		if err := n.beat(context.WithoutCancel(ctx)); err != nil {
-			klog.InfoS("engines not given up", "cell", n.cfg.Cell, "err", err)
+		n.releaseAllEngines()
+		n.isFinalBeat = true
+		if err := n.sendHeartbeat(context.WithoutCancel(ctx)); err != nil {
+			klog.InfoS("could not release the engines", "cell", n.cfg.Cell, "err", err)
 		}
 	}
-	if n.coordinating() == nil || !n.Leaving() || !n.lease.Ours() {
+	if n.coordinatorState() == nil || !n.Leaving() || !n.lease.Ours() {
 		return
 	}
-	ctx, cancel := n.limit(context.WithoutCancel(ctx))
+	ctx, cancel := n.withStepTimeout(context.WithoutCancel(ctx))
 	defer cancel()
 	if err := n.lease.GiveUp(ctx); err != nil {
-		klog.InfoS("lease not given up", "cell", n.cfg.Cell, "err", err)
+		klog.InfoS("could not release the coordinator lease", "cell", n.cfg.Cell, "err", err)
 	}
 }
 
-// releaseAll makes the next heartbeat offer all engines of this box.
-func (n *Node) releaseAll() {
+// releaseAllEngines marks all engines of this box as released in the next heartbeat.
+func (n *Node) releaseAllEngines() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for name, g := range n.grants {
@@ -298,7 +299,8 @@
 	}
 }
 
-// HandedOver reports whether the cell's map names this box neither as an owner nor as one that may have requests in flight.
+// HandedOver reports whether the cell map no longer names this box: neither as the owner of an engine nor as a previous owner that may still
+// have requests in flight.
 func (n *Node) HandedOver() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 	return !slices.ContainsFunc(m.Owners, func(o coordinator.Ownership) bool {
@@ -306,7 +308,7 @@
 	})
 }
 
-func (n *Node) coordinating() *coordinator.State {
+func (n *Node) coordinatorState() *coordinator.State {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.state
@@ -318,10 +320,10 @@
 	return n.frozen
 }
 
-// setTenure shows the loop's view of the lease to the others.
-func (n *Node) setTenure(state *coordinator.State) {
+// updateLeaseView copies the loop's lease state for readers outside the loop and sets the coordinator state, nil if this box does not coordinate.
+func (n *Node) updateLeaseView(state *coordinator.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.tenure = tenure{record: n.lease.Record(), version: n.lease.Version(), validUntil: n.lease.ValidUntil()}
+	n.leaseView = leaseSnapshot{record: n.lease.Record(), version: n.lease.Version(), validUntil: n.lease.ValidUntil()}
 	n.state = state
 }
--- /dev/null
+++ b/internal/member/restore_test.go
@@ -0,0 +1,80 @@
+package member_test
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	qt "github.com/frankban/quicktest"
+)
+
+// TestAuthorityAfterStoreRestore restores the store from a copy that lacks the last takeovers. It guards against two boxes with authority over
+// the same engine, and against epochs that are given out twice.
+func TestAuthorityAfterStoreRestore(t *testing.T) {
+	for snapshotAge := 500 * time.Millisecond; snapshotAge <= 14*time.Second; snapshotAge += 900 * time.Millisecond {
+		for _, nextFaultDelay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second, 9 * time.Second} {
+			t.Run(fmt.Sprint(snapshotAge, "-then-", nextFaultDelay), func(t *testing.T) {
+				synctest.Test(t, func(t *testing.T) {
+					cl := newTimedCluster(t, 5, 12, 0, routedTiming())
+					defer cl.stopAll()
+					cl.waitUntil(30*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
+					cl.advance(8 * time.Second)
+					backup := cl.platform.Snapshot()
+					cl.killBox("box-000")
+					cl.startBox("box-005", 5)
+					cl.advance(snapshotAge)
+					cl.killBox("box-001")
+					cl.platform.Rewind(backup)
+					cl.advance(nextFaultDelay)
+					cl.killBox("box-002")
+					cl.startBox("box-006", 6)
+					cl.waitUntil(40*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
+					cl.advance(10 * time.Second)
+					cl.c.Check(cl.countOwned(), qt.Equals, len(cl.engines))
+					cl.checkInvariants()
+				})
+			})
+		}
+	}
+}
+
+// TestLargeCellAfterStoreRestore restores the store from an older copy, without any other fault. It guards against boxes behind aggregators that
+// lose their engines or are hidden from callers.
+func TestLargeCellAfterStoreRestore(t *testing.T) {
+	for _, snapshotAge := range []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 4 * time.Second} {
+		t.Run(snapshotAge.String(), func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				cl := newTimedCluster(t, 30, 60, 4*time.Millisecond, routedTiming())
+				defer cl.stopAll()
+				cl.waitUntil(40*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
+				cl.advance(12 * time.Second)
+				owners := cl.ownerByEngine()
+				backup := cl.platform.Snapshot()
+				cl.advance(snapshotAge)
+				cl.platform.Rewind(backup)
+				for range 120 {
+					cl.advance(100 * time.Millisecond)
+					cl.c.Check(cl.countOwned(), qt.Equals, len(cl.engines))
+				}
+				cl.c.Check(cl.ownerByEngine(), qt.DeepEquals, owners)
+				_, hidden := cl.observeMaps(nil, 2*time.Second)
+				cl.c.Check(hidden, qt.Equals, 0)
+				cl.checkInvariants()
+			})
+		})
+	}
+}
+
+// ownerByEngine returns, for each engine, the box that may give it orders.
+func (cl *cluster) ownerByEngine() map[string]string {
+	now, all := time.Now(), map[string]string{}
+	for _, e := range cl.engines {
+		for _, n := range cl.runningNodes() {
+			if _, ok := n.Authority(e, now); ok {
+				all[e] = n.name
+			}
+		}
+	}
+	return all
+}
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -13,21 +13,21 @@
 	"github.com/bellgap/bellgap/internal/part"
 )
 
-// rest waits for the next round. It comes early when a new map gives this box an engine that it has no grant for, and at once when there
-// is a coordinator that has not had a heartbeat of this box yet.
-func (n *Node) rest(ctx context.Context) {
-	pause := n.pause()
-	due := clock.Now().Add(pause)
-	next := time.NewTimer(pause)
+// waitForNextRound waits until the next round is due. It returns early when a new map assigns an engine to this box for which it has no grant.
+// It returns at once when there is a coordinator to which this box has not sent a heartbeat yet.
+func (n *Node) waitForNextRound(ctx context.Context) {
+	delay := n.nextRoundDelay()
+	due := clock.Now().Add(delay)
+	next := time.NewTimer(delay)
 	defer next.Stop()
-	defer func() { n.noteStall(due) }()
+	defer func() { n.recordStall(due) }()
 	for {
 		changed := n.cfg.Catalog.Changed()
-		if n.supplanted() || n.found() {
+		if n.hasNewerCoordinator() || n.hasNewLease() {
 			return
 		}
-		if n.awaitsGrant() {
-			part.Sleep(ctx, n.cfg.Timing.Beat/earlyBeat)
+		if n.lacksGrant() {
+			part.Sleep(ctx, n.cfg.Timing.Beat/earlyBeatDivisor)
 			return
 		}
 		select {
@@ -40,25 +40,25 @@
 	}
 }
 
-// pause returns the time to the next round: a heartbeat's, or less if this box's turn to take the lease comes before, or the time at
-// which a new coordinator is to hide whom it has not heard.
-func (n *Node) pause() time.Duration {
-	pause := n.cfg.Timing.Beat - time.Duration(rand.Int64N(int64(n.cfg.Timing.Beat/10)+1))
-	if _, ok := n.via(); ok {
-		// The aggregator's window is part of the time between two heartbeats.
-		pause -= n.cfg.Timing.Beat / windowShare
+// nextRoundDelay returns the time to the next round: one heartbeat period, or less if this box may take the lease earlier, or if this box is a
+// new coordinator that has to hide the boxes without heartbeats earlier.
+func (n *Node) nextRoundDelay() time.Duration {
+	delay := n.cfg.Timing.Beat - time.Duration(rand.Int64N(int64(n.cfg.Timing.Beat/10)+1))
+	if _, ok := n.currentAggregator(); ok {
+		// The aggregator's window is part of the heartbeat period.
+		delay -= n.cfg.Timing.Beat / windowDivisor
 	}
-	if at, ok := n.turn(); ok {
-		pause = min(pause, clock.Until(at))
+	if takeoverAt, ok := n.nextTakeoverTime(); ok {
+		delay = min(delay, clock.Until(takeoverAt))
 	}
-	if left := clock.Until(n.unheardUntil); left > 0 && n.coordinating() != nil {
-		pause = min(pause, left)
+	if remaining := clock.Until(n.takeoverGraceEnd); remaining > 0 && n.coordinatorState() != nil {
+		delay = min(delay, remaining)
 	}
-	return pause
+	return delay
 }
 
-// awaitsGrant reports whether the map names this box as the owner of an engine without a grant.
-func (n *Node) awaitsGrant() bool {
+// lacksGrant reports whether the map names this box as the owner of an engine for which it has no grant.
+func (n *Node) lacksGrant() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -71,100 +71,100 @@
 	})
 }
 
-// round renews the lease and publishes the map if this box coordinates, then sends one heartbeat, and seeks the lease if that fails.
-func (n *Node) round(ctx context.Context) {
-	if state := n.coordinating(); state != nil {
+// runRound renews the lease and publishes the map if this box coordinates. It then sends one heartbeat, and checks the lease if that fails.
+func (n *Node) runRound(ctx context.Context) {
+	if state := n.coordinatorState(); state != nil {
 		n.coordinate(ctx, state)
 	}
-	if n.supplanted() && !n.follow() {
-		n.seekLease(ctx)
+	if n.hasNewerCoordinator() && !n.followMapCoordinator() {
+		n.checkLease(ctx)
 	}
-	n.beatTo = n.lease.Record().Epoch
-	err := n.beat(ctx)
-	n.missed = err != nil
+	n.beatEpoch = n.lease.Record().Epoch
+	err := n.sendHeartbeat(ctx)
+	n.beatMissed = err != nil
 	if err != nil {
 		n.cfg.Scope.Counter("beat_failures").Inc(1)
 		klog.V(1).InfoS("heartbeat failed", "cell", n.cfg.Cell, "err", err)
 	}
-	if n.seekIsDue(clock.Now(), err) {
-		n.seekLease(ctx)
+	if n.isLeaseCheckDue(clock.Now(), err) {
+		n.checkLease(ctx)
 	}
 }
 
-// seekIsDue reports whether it is time to look at the lease of a coordinator that does not answer or cannot renew it.
-func (n *Node) seekIsDue(now time.Time, missed error) bool {
+// isLeaseCheckDue reports whether this box should check the lease because the coordinator does not answer or cannot renew it.
+func (n *Node) isLeaseCheckDue(now time.Time, beatErr error) bool {
 	frozen := n.isFrozen()
-	if missed == nil && !frozen {
+	if beatErr == nil && !frozen {
 		return false
 	}
-	since := now.Sub(n.lastSeek)
-	if missed != nil && since >= n.seekPause() {
+	sinceCheck := now.Sub(n.lastLeaseCheck)
+	if beatErr != nil && sinceCheck >= n.leaseCheckInterval() {
 		return true
 	}
-	return frozen && since >= n.cfg.Timing.LeaseTTL || n.turnHasCome(now)
+	return frozen && sinceCheck >= n.cfg.Timing.LeaseTTL || n.isTakeoverDue(now)
 }
 
-// turnHasCome reports whether this box may take the lease, by what it knows, and has not looked at it since.
-func (n *Node) turnHasCome(now time.Time) bool {
-	if n.rank() >= maxCandidates {
+// isTakeoverDue reports whether this box may take the lease, as far as it knows, and has not checked it since.
+func (n *Node) isTakeoverDue(now time.Time) bool {
+	if n.candidateRank() >= maxCandidates {
 		return false
 	}
-	at, known := n.lease.FreeAt(n.grace())
-	return known && n.lastSeek.Before(at) && !now.Before(at)
+	freeAt, known := n.lease.FreeAt(n.takeoverDelay())
+	return known && n.lastLeaseCheck.Before(freeAt) && !now.Before(freeAt)
 }
 
-// seekPause returns how long this box waits between two looks at the lease of a coordinator that does not answer: not at all if it
-// is one of those that would take it first, else long enough for one of them to have it, as every look is paid for.
-func (n *Node) seekPause() time.Duration {
-	if n.lease.Record().Holder == "" || n.rank() < maxCandidates {
+// leaseCheckInterval returns the time between two checks of the lease while the coordinator does not answer. The first candidates for the
+// lease check it in every round. Other boxes wait long enough for a candidate to take the lease, because each check is a billed platform call.
+func (n *Node) leaseCheckInterval() time.Duration {
+	if n.lease.Record().Holder == "" || n.candidateRank() < maxCandidates {
 		return 0
 	}
-	return n.cfg.Timing.LeaseTTL / seekShare
+	return n.cfg.Timing.LeaseTTL / leaseCheckDivisor
 }
 
-// turn returns when this box may take the lease of a coordinator that does not answer or cannot renew it, if it is one of those that go
-// first and that time is still to come. It is kept to: a heartbeat that hangs and the pause after it would add up to a second to every
-// takeover, and a coordinator that the store turns away would keep its cell for two times of the lease.
-func (n *Node) turn() (time.Time, bool) {
-	if (!n.missed && !n.isFrozen()) || n.rank() >= maxCandidates {
+// nextTakeoverTime returns when this box may take the lease of a coordinator that does not answer or cannot renew it. There is no such time
+// if this box is not one of the first candidates or if the time has passed. Waits are cut short at this time: a hanging heartbeat and the
+// delay after it would add up to a second to every takeover, and a coordinator that the store rejects would keep its cell for two lease TTLs.
+func (n *Node) nextTakeoverTime() (time.Time, bool) {
+	if (!n.beatMissed && !n.isFrozen()) || n.candidateRank() >= maxCandidates {
 		return time.Time{}, false
 	}
-	at, known := n.lease.FreeAt(n.grace())
+	at, known := n.lease.FreeAt(n.takeoverDelay())
 	return at, known && clock.Now().Before(at)
 }
 
-// supplanted reports whether the cell map names a newer coordinator than this box knows, and the lease has not been read since:
-// heartbeats to the one before would only time out, and the new one takes boxes that it does not hear for lost.
-func (n *Node) supplanted() bool {
+// hasNewerCoordinator reports whether the cell map names a coordinator that is newer than the one this box knows, and the lease has not been
+// checked since. Heartbeats to the old coordinator would only time out, and the new one counts boxes as lost that send it no heartbeat.
+func (n *Node) hasNewerCoordinator() bool {
 	m, _, ok := n.cfg.Catalog.Map(n.cfg.Cell)
-	return ok && m.Lease > max(n.soughtFor, n.lease.Record().Epoch)
+	return ok && m.Lease > max(n.checkedLeaseEpoch, n.lease.Record().Epoch)
 }
 
-// follow goes over to the coordinator that the map names, if the map says where it is: reading the lease would be a call of every box at
-// each takeover.
-func (n *Node) follow() bool {
+// followMapCoordinator switches to the coordinator that the map names, if the map contains its address. Without this, every box would read the
+// lease after each takeover.
+func (n *Node) followMapCoordinator() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
-	at := slices.IndexFunc(m.Members, func(b coordinator.Member) bool { return b.Box == m.Coordinator })
-	if at < 0 || m.Coordinator == n.cfg.Self.Box {
+	index := slices.IndexFunc(m.Members, func(b coordinator.Member) bool { return b.Box == m.Coordinator })
+	if index < 0 || m.Coordinator == n.cfg.Self.Box {
 		return false
 	}
-	n.lease.Named(m.Coordinator, m.Members[at].Peer.String(), m.Lease)
-	n.soughtFor = m.Lease
-	n.setTenure(n.coordinating())
+	n.lease.Named(m.Coordinator, m.Members[index].Peer.String(), m.Lease)
+	n.checkedLeaseEpoch = m.Lease
+	n.updateLeaseView(n.coordinatorState())
 	return true
 }
 
-// found reports whether the lease has been seen to have another holder since a heartbeat was missed.
-func (n *Node) found() bool { return n.missed && n.lease.Record().Epoch != n.beatTo }
+// hasNewLease reports whether the recorded lease has changed its epoch since a heartbeat was missed.
+func (n *Node) hasNewLease() bool { return n.beatMissed && n.lease.Record().Epoch != n.beatEpoch }
 
-// noteStall notes that this process stood still if a time to wait has ended far too late: what it reads now may be old.
-func (n *Node) noteStall(due time.Time) {
+// recordStall records a stall of this process if a wait has ended far too late. Messages that the process reads afterwards may be old.
+func (n *Node) recordStall(due time.Time) {
 	now := clock.Now()
 	if now.Sub(due) < n.cfg.Timing.Beat {
 		return
 	}
 	n.cfg.Scope.Counter("stalls").Inc(1)
-	klog.InfoS("this process stood still", "cell", n.cfg.Cell, "for", now.Sub(due), "suspended_in_all", clock.Suspended())
+	klog.InfoS("this process was stalled", "cell", n.cfg.Cell, "for", now.Sub(due), "suspended_in_all", clock.Suspended())
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.collector.Stalled(now)
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -10,43 +10,43 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// Spread is what a box passes on with heartbeats, so that the platform's load does not grow with the boxes.
+// Spread distributes changes with heartbeats, so that the platform's load does not grow with the number of boxes.
 type Spread interface {
-	// Known returns the revisions up to which this box knows the kinds that it follows.
+	// Known returns, for each kind that this box follows, the revision up to which it has the changes.
 	Known() map[string]objects.Position
-	// Since returns what this box knows beyond known, and the time since the store last answered it.
+	// Since returns the changes that this box has beyond known, and the time since the store last answered it.
 	Since(known map[string]objects.Position) ([]objects.KindChanges, time.Duration)
-	// MayTell reports whether something of so many bytes may be told another box now. One that was not told is to ask the platform.
+	// MayTell reports whether a message of size bytes may be sent to another box now. If not, that box has to read the change from the platform.
 	MayTell(size int) bool
-	// Take takes changes from the coordinator in.
+	// Take applies changes that the coordinator has sent.
 	Take(changes []objects.KindChanges, storeAge time.Duration)
-	// Confirmed returns the ages of this box's own word, Confirm takes in those of a box that was asked at a time.
+	// Confirmed returns the ages of this box's own data. Confirm applies the ages that another box returned to a request sent at askedAt.
 	Confirmed() map[string]objects.Confirmation
-	Confirm(told map[string]objects.Confirmation, askedAt time.Time)
+	Confirm(ages map[string]objects.Confirmation, askedAt time.Time)
 }
 
-// addNews adds to a reply what the box does not know yet. The caller holds the lock.
-func (n *Node) addNews(known map[string]objects.Position, generation int64, news *coordinator.News) {
+// addNews adds to a reply the changes that the receiving box does not have yet. The caller holds the lock.
+func (n *Node) addNews(known map[string]objects.Position, knownGeneration int64, news *coordinator.News) {
 	if n.cfg.Spread == nil || known == nil {
 		return
 	}
 	news.Confirmed = n.cfg.Spread.Confirmed()
 	news.Changes, news.StoreAge = n.cfg.Spread.Since(known)
-	d, changed := n.history.Since(generation)
-	// A box may know a later map than this one, which has not heard yet that its write was done.
+	delta, changed := n.history.Since(knownGeneration)
+	// The other box may have a later map than this coordinator: the write of that map may have succeeded without an answer.
 	if !changed {
 		return
 	}
-	if !n.cfg.Spread.MayTell(d.Size()) {
+	if !n.cfg.Spread.MayTell(delta.Size()) {
 		news.Changes = append(news.Changes, objects.KindChanges{Kind: coordinator.MapKind, Ask: true})
 		return
 	}
-	d.Version = n.mapStored
-	news.Map = &d
+	delta.Version = n.historyVersion
+	news.Map = &delta
 }
 
-// takeNews takes in what came with a reply of another box to a message that was sent at a time.
-func (n *Node) takeNews(news coordinator.News, sentAt time.Time) {
+// applyNews applies the changes in another box's reply to a message that was sent at sentAt.
+func (n *Node) applyNews(news coordinator.News, sentAt time.Time) {
 	if n.cfg.Spread == nil {
 		return
 	}
@@ -55,14 +55,14 @@
 	if news.Map == nil {
 		return
 	}
-	have, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
-	m, ok := news.Map.Apply(have)
+	current, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
+	m, ok := news.Map.Apply(current)
 	if !ok {
 		return
 	}
 	value, err := json.Marshal(m)
 	if err != nil {
-		klog.ErrorS(err, "cell map not taken in", "generation", m.Generation)
+		klog.ErrorS(err, "could not encode the received cell map", "generation", m.Generation)
 		return
 	}
 	n.cfg.Catalog.Apply(objects.Changes{Objects: []objects.Object{
--- a/internal/member/spread_test.go
+++ b/internal/member/spread_test.go
@@ -13,63 +13,64 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// spread passes no changes on; what it may tell is set.
-type spread struct{ refuse atomic.Bool }
+// fakeSpread distributes no changes. If refuse is set, it permits only small messages.
+type fakeSpread struct{ refuse atomic.Bool }
 
-func (s *spread) Known() map[string]objects.Position { return map[string]objects.Position{} }
+func (s *fakeSpread) Known() map[string]objects.Position { return map[string]objects.Position{} }
 
-func (s *spread) Since(map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
+func (s *fakeSpread) Since(map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
 	return nil, 0
 }
 
-func (s *spread) MayTell(size int) bool { return size < 1000 || !s.refuse.Load() }
+func (s *fakeSpread) MayTell(size int) bool { return size < 1000 || !s.refuse.Load() }
 
-func (s *spread) Take([]objects.KindChanges, time.Duration) {}
+func (s *fakeSpread) Take([]objects.KindChanges, time.Duration) {}
 
 // Confirmed implements member.Spread.
-func (s *spread) Confirmed() map[string]objects.Confirmation { return nil }
+func (s *fakeSpread) Confirmed() map[string]objects.Confirmation { return nil }
 
 // Confirm implements member.Spread.
-func (s *spread) Confirm(map[string]objects.Confirmation, time.Time) {}
+func (s *fakeSpread) Confirm(map[string]objects.Confirmation, time.Time) {}
 
-// TestMapIsToldWithinBounds asks a coordinator with boxes that know maps of several generations.
-func TestMapIsToldWithinBounds(t *testing.T) {
+// TestMapUpdatesAreBounded sends a coordinator heartbeats of boxes that have maps of different generations. It checks which boxes are sent a
+// map, and that others are asked to read it from the platform if the message would be too large.
+func TestMapUpdatesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 0, 40)
-		defer cl.end()
-		s := &spread{}
+		defer cl.stopAll()
+		s := &fakeSpread{}
 		cl.spread = s
-		cl.start("box-000", 0)
-		cl.settle()
-		cl.run(5 * time.Second)
-		teller := cl.coordinator()
-		newest, _, _ := teller.catalog.Map(cell)
+		cl.startBox("box-000", 0)
+		cl.waitForOwners()
+		cl.advance(5 * time.Second)
+		sender := cl.coordinator()
+		newest, _, _ := sender.catalog.Map(cell)
 		cl.c.Assert(newest.Generation > 1, qt.IsTrue)
 		for _, test := range []struct {
-			name   string
-			has    int64
-			refuse bool
-			// told says that the reply has a map, whole that it is all of it, ask that the box is to ask the platform for it.
-			told, whole, ask bool
+			name            string
+			knownGeneration int64
+			refuse          bool
+			// wantMap is set if the reply has a map, wantWhole if that is the whole map, wantAsk if the box has to read it from the platform.
+			wantMap, wantWhole, wantAsk bool
 		}{
-			{name: "newest", has: newest.Generation},
-			{name: "newest, refused", has: newest.Generation, refuse: true},
-			{name: "one before", has: newest.Generation - 1, told: true},
-			{name: "none", has: 0, told: true, whole: true},
-			{name: "none, refused", has: 0, refuse: true, ask: true},
-			{name: "one that the coordinator has not heard of", has: newest.Generation + 1},
-			{name: "one that the coordinator has not heard of, refused", has: newest.Generation + 1, refuse: true},
+			{name: "newest", knownGeneration: newest.Generation},
+			{name: "newest, refused", knownGeneration: newest.Generation, refuse: true},
+			{name: "one generation before", knownGeneration: newest.Generation - 1, wantMap: true},
+			{name: "none", knownGeneration: 0, wantMap: true, wantWhole: true},
+			{name: "none, refused", knownGeneration: 0, refuse: true, wantAsk: true},
+			{name: "newer than the coordinator knows", knownGeneration: newest.Generation + 1},
+			{name: "newer than the coordinator knows, refused", knownGeneration: newest.Generation + 1, refuse: true},
 		} {
 			s.refuse.Store(test.refuse)
-			reply, err := teller.HandleBeat(coordinator.Beat{
-				Member: coordinator.Member{Box: "box-000", Zone: zone, Incarnation: "other"}, Known: map[string]objects.Position{}, MapGeneration: test.has,
+			reply, err := sender.HandleBeat(coordinator.Beat{
+				Member: coordinator.Member{Box: "box-000", Zone: zone, Incarnation: "other"}, Known: map[string]objects.Position{}, MapGeneration: test.knownGeneration,
 			})
 			comment := qt.Commentf("%s", test.name)
 			cl.c.Assert(err, qt.IsNil, comment)
-			cl.c.Check(reply.Map != nil, qt.Equals, test.told, comment)
-			cl.c.Check(reply.Map != nil && reply.Map.From == 0, qt.Equals, test.whole, comment)
+			cl.c.Check(reply.Map != nil, qt.Equals, test.wantMap, comment)
+			cl.c.Check(reply.Map != nil && reply.Map.From == 0, qt.Equals, test.wantWhole, comment)
 			ask := slices.ContainsFunc(reply.Changes, func(ch objects.KindChanges) bool { return ch.Kind == coordinator.MapKind && ch.Ask })
-			cl.c.Check(ask, qt.Equals, test.ask, comment)
+			cl.c.Check(ask, qt.Equals, test.wantAsk, comment)
 		}
 	})
 }
--- a/internal/member/unanswered_test.go
+++ b/internal/member/unanswered_test.go
@@ -13,62 +13,63 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// TestUnansweredWritesDoNotEndACoordinator: while the store is slow, a coordinator's writes take effect and it does not hear of it, nor
-// can it read them back in time. It used to take what it then found for another coordinator's, gave up, took its own lease again as if
-// it were new and forgot who was silent.
-func TestUnansweredWritesDoNotEndACoordinator(t *testing.T) {
+// TestUnansweredWritesKeepCoordinator covers a slow store: a coordinator's writes take effect without an answer, and it cannot read them back
+// in time. The coordinator used to mistake its own stored state for that of another coordinator. It then gave up, took its own lease again
+// as if it were new, and lost the record of which boxes were silent.
+func TestUnansweredWritesKeepCoordinator(t *testing.T) {
 	for _, tt := range []struct {
 		name string
-		// changes says that the map changes meanwhile, so that its writes are unanswered too.
-		changes bool
-	}{{"the lease's", false}, {"the lease's and the map's", true}} {
+		// mapChanges is set if the map changes meanwhile, so that writes of the map are not answered either.
+		mapChanges bool
+	}{{"lease writes", false}, {"lease and map writes", true}} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				cl := newCluster(t, 3, 4)
-				defer cl.end()
-				cl.settle()
-				cl.run(20 * time.Second)
+				defer cl.stopAll()
+				cl.waitForOwners()
+				cl.advance(20 * time.Second)
 				n := cl.coordinator()
 				before, _, _ := n.catalog.Map(cell)
-				n.setUnanswered(true)
-				if tt.changes {
+				n.setDropsAnswers(true)
+				if tt.mapChanges {
 					cl.declareEngine("engine-new")
 				}
-				cl.run(2 * time.Second)
-				n.setUnanswered(false)
-				cl.run(20 * time.Second)
+				cl.advance(2 * time.Second)
+				n.setDropsAnswers(false)
+				cl.advance(20 * time.Second)
 				after, _, _ := n.catalog.Map(cell)
 				cl.c.Check(after.Coordinator, qt.Equals, before.Coordinator)
 				cl.c.Check(after.Lease, qt.Equals, before.Lease)
-				cl.c.Check(after.Generation > before.Generation, qt.Equals, tt.changes)
-				cl.c.Check(cl.owned(), qt.Equals, len(cl.engines))
-				cl.check()
+				cl.c.Check(after.Generation > before.Generation, qt.Equals, tt.mapChanges)
+				cl.c.Check(cl.countOwned(), qt.Equals, len(cl.engines))
+				cl.checkInvariants()
 			})
 		})
 	}
 }
 
-// TestUnansweredMapIsToldAsItIsStored: a map that took effect without an answer is told other boxes as it stands in the store, so that one
-// that has read it there is told nothing. Told with another number it was sent to all boxes whole, with each heartbeat.
-func TestUnansweredMapIsToldAsItIsStored(t *testing.T) {
-	for _, unanswered := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
-		t.Run(unanswered.String(), func(t *testing.T) {
+// TestUnansweredMapIsSentAsStored checks that the coordinator sends a map whose write was not answered with the generation of the stored map. A
+// box that has read the map from the store then receives no map. With a different generation, all boxes received the whole map with each
+// heartbeat.
+func TestUnansweredMapIsSentAsStored(t *testing.T) {
+	for _, dropTime := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
+		t.Run(dropTime.String(), func(t *testing.T) {
 			for range 6 {
 				synctest.Test(t, func(t *testing.T) {
 					cl := newTimedCluster(t, 0, 40, 4*time.Millisecond, routedTiming())
-					defer cl.end()
-					cl.spread = &spread{}
+					defer cl.stopAll()
+					cl.spread = &fakeSpread{}
 					for i, box := range []string{"box-000", "box-001", "box-002"} {
-						cl.start(box, i)
+						cl.startBox(box, i)
 					}
-					cl.settle()
-					cl.run(20 * time.Second)
+					cl.waitForOwners()
+					cl.advance(20 * time.Second)
 					n := cl.coordinator()
-					n.setUnanswered(true)
+					n.setDropsAnswers(true)
 					cl.declareEngine("engine-new")
-					cl.run(unanswered)
-					n.setUnanswered(false)
-					cl.run(20 * time.Second)
+					cl.advance(dropTime)
+					n.setDropsAnswers(false)
+					cl.advance(20 * time.Second)
 					var stored coordinator.Map
 					o, err := cl.platform.Get(context.Background(), coordinator.MapKind, cell)
 					cl.c.Assert(err, qt.IsNil)
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -1,4 +1,4 @@
-// Package repair writes back what the platform has lost, as after a restore from an older copy.
+// Package repair writes objects back to the platform that it has lost, for example after a restore from an older copy.
 package repair
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/bellgap/bellgap/internal/part"
 )
 
-// Rate of the repair: a twentieth of the platform's writes.
+// Rate limit of the repair: it takes a twentieth of the platform's write capacity.
 const (
-	every   = time.Second
-	atATime = 5
+	interval  = time.Second
+	batchSize = 5
 )
 
 // Config configures a Repair.
@@ -29,22 +29,22 @@
 	Scope  tally.Scope
 }
 
-// Repair is the part that writes back.
+// Repair writes lost objects back to the platform.
 type Repair struct {
 	cfg  Config
 	done chan struct{}
 }
 
-// New returns a Repair; its Serve has to run.
+// New returns a Repair. The caller has to run its Serve.
 func New(cfg Config) *Repair { return &Repair{cfg: cfg, done: make(chan struct{})} }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended.
 func (r *Repair) Done() <-chan struct{} { return r.done }
 
-// Serve writes back until ctx ends.
+// Serve writes lost objects back until ctx ends.
 func (r *Repair) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, r.done)
-	tick := time.NewTicker(every)
+	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
 		select {
@@ -55,41 +55,42 @@
 		if !r.cfg.Active() {
 			continue
 		}
-		for _, o := range r.cfg.Catalog.Unstored(atATime) {
+		for _, o := range r.cfg.Catalog.Unstored(batchSize) {
 			r.write(ctx, o)
 		}
 	}
 }
 
-// write puts one object back unless the platform has a newer generation.
+// write writes one object back unless the platform has a newer generation.
 func (r *Repair) write(ctx context.Context, o objects.Object) {
-	have, err := r.cfg.API.Get(ctx, o.Kind, o.Name)
+	stored, err := r.cfg.API.Get(ctx, o.Kind, o.Name)
 	if err != nil && !errors.Is(err, objects.ErrNotFound) {
 		return
 	}
-	if !needed(o, have, errors.Is(err, objects.ErrNotFound)) {
+	if !shouldWrite(o, stored, errors.Is(err, objects.ErrNotFound)) {
 		return
 	}
 	if o.Deleted {
-		err = r.cfg.API.Delete(ctx, o.Kind, o.Name, have.Version)
+		err = r.cfg.API.Delete(ctx, o.Kind, o.Name, stored.Version)
 	} else {
-		_, err = r.cfg.API.Put(ctx, o.Kind, o.Name, have.Version, o.Value)
+		_, err = r.cfg.API.Put(ctx, o.Kind, o.Name, stored.Version, o.Value)
 	}
 	if err != nil {
 		r.cfg.Scope.Counter("repair_failures").Inc(1)
 		return
 	}
 	r.cfg.Scope.Counter("repairs").Inc(1)
-	klog.InfoS("written back to the platform", "kind", o.Kind, "name", o.Name)
+	klog.InfoS("lost object written back to the platform", "kind", o.Kind, "name", o.Name)
 }
 
-// needed reports whether writing o back changes anything for the better; gone says that the platform has no such object.
-func needed(o, have objects.Object, gone bool) bool {
-	if gone {
+// shouldWrite reports whether the platform has lost the state of o: it lacks an object that exists, or still has one that was deleted, or has an
+// older generation. The flag missing is set if the platform has no such object.
+func shouldWrite(o, stored objects.Object, missing bool) bool {
+	if missing {
 		return !o.Deleted
 	}
 	if o.Deleted {
-		return catalog.GenerationOf(have) <= catalog.GenerationOf(o)
+		return catalog.GenerationOf(stored) <= catalog.GenerationOf(o)
 	}
-	return catalog.GenerationOf(have) < catalog.GenerationOf(o)
+	return catalog.GenerationOf(stored) < catalog.GenerationOf(o)
 }
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -25,17 +25,17 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// box is the parts of a box that keep configuration.
+// box holds the components of a box that store configuration.
 type box struct {
 	catalog  *catalog.Catalog
 	feed     *feed.Feed
 	operator http.Handler
-	// seen is the newest urgency seen.
-	seen int
+	// lastUrgency is the latest urgency that the box has had.
+	lastUrgency int
 }
 
-// rig is boxes before one platform in virtual time; the first box repairs.
-type rig struct {
+// harness runs boxes with one platform in virtual time. The first box does the repairs.
+type harness struct {
 	c        *qt.C
 	ctx      context.Context
 	group    errgroup.Group
@@ -43,30 +43,30 @@
 	boxes    []*box
 }
 
-func (r *rig) addBox() *box {
+func (r *harness) addBox() *box {
 	first := len(r.boxes) == 0
 	b := &box{catalog: catalog.New()}
-	neighbour := b.catalog
+	peerCatalog := b.catalog
 	if !first {
-		neighbour = r.boxes[0].catalog
+		peerCatalog = r.boxes[0].catalog
 	}
 	b.feed = feed.New(feed.Config{
 		Catalog: b.catalog, Scope: tally.NoopScope, Pick: func() feed.Source { return r.platform },
 		Lost: func(context.Context) ([]objects.Object, error) {
-			return neighbour.Unstored(100), nil
+			return peerCatalog.Unstored(100), nil
 		},
 	})
 	b.operator = operator.New(operator.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Metrics: http.NotFoundHandler()}).Handler()
-	fix := repair.New(repair.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Active: func() bool { return first }})
+	repairer := repair.New(repair.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Active: func() bool { return first }})
 	r.group.Go(func() error { return b.feed.Serve(r.ctx) })
-	r.group.Go(func() error { return fix.Serve(r.ctx) })
+	r.group.Go(func() error { return repairer.Serve(r.ctx) })
 	r.boxes = append(r.boxes, b)
 	<-b.feed.Ready()
 	return b
 }
 
-// put declares a priority's urgency through a box and returns the result code.
-func (r *rig) put(b *box, urgency int, query string) result.Code {
+// putPriority sends a change of a priority's urgency to a box and returns the result code.
+func (r *harness) putPriority(b *box, urgency int, query string) result.Code {
 	body, err := json.Marshal(resource.Resource{Kind: resource.KindPriority, Name: "gate", Spec: &resource.Priority{Urgency: urgency}})
 	r.c.Assert(err, qt.IsNil)
 	w := httptest.NewRecorder()
@@ -79,8 +79,8 @@
 	return e.Code
 }
 
-// run lets time pass and checks that no box goes back.
-func (r *rig) run(d time.Duration) {
+// advance lets time pass and checks that the urgency never decreases on any box.
+func (r *harness) advance(d time.Duration) {
 	for ; d > 0; d -= 100 * time.Millisecond {
 		time.Sleep(100 * time.Millisecond)
 		for i, b := range r.boxes {
@@ -88,16 +88,16 @@
 			if p, ok := b.catalog.Priority("gate"); ok {
 				now = p.Urgency
 			}
-			r.c.Assert(now >= b.seen, qt.IsTrue, qt.Commentf("box %d went back to %d after %d", i, now, b.seen))
-			b.seen = now
+			r.c.Assert(now >= b.lastUrgency, qt.IsTrue, qt.Commentf("box %d has urgency %d after %d", i, now, b.lastUrgency))
+			b.lastUrgency = now
 		}
 	}
 }
 
-func inBubble(t *testing.T, boxes int, test func(r *rig)) {
+func runInVirtualTime(t *testing.T, boxes int, test func(r *harness)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		r := &rig{c: qt.New(t), ctx: ctx, platform: fakeplatform.New()}
+		r := &harness{c: qt.New(t), ctx: ctx, platform: fakeplatform.New()}
 		for range boxes {
 			r.addBox()
 		}
@@ -107,8 +107,9 @@
 	})
 }
 
-// TestRestoredPlatformTakesNothingBack guards against changes that a platform restored from an older copy takes back, with eras and without.
-func TestRestoredPlatformTakesNothingBack(t *testing.T) {
+// TestChangesSurvivePlatformRestore restores the platform from an older copy, with and without a new era. It guards against changes that are
+// undone by the restore.
+func TestChangesSurvivePlatformRestore(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		restore func(*fakeplatform.Store, objects.Changes)
@@ -116,44 +117,44 @@
 		{"revisions-go-back", (*fakeplatform.Store).Restore},
 		{"new-era", (*fakeplatform.Store).Rewind},
 	} {
-		t.Run(test.name, func(t *testing.T) { checkRestored(t, test.restore) })
+		t.Run(test.name, func(t *testing.T) { checkRestore(t, test.restore) })
 	}
 }
 
-func checkRestored(t *testing.T, restore func(*fakeplatform.Store, objects.Changes)) {
-	inBubble(t, 3, func(r *rig) {
-		r.c.Assert(r.put(r.boxes[0], 1, ""), qt.Equals, result.OK)
+func checkRestore(t *testing.T, restore func(*fakeplatform.Store, objects.Changes)) {
+	runInVirtualTime(t, 3, func(r *harness) {
+		r.c.Assert(r.putPriority(r.boxes[0], 1, ""), qt.Equals, result.OK)
 		_, err := r.platform.Put(r.ctx, "Priority", "old", 0, []byte(`{"kind":"Priority","name":"old","spec":{"urgency":1}}`))
 		r.c.Assert(err, qt.IsNil)
-		r.run(3 * time.Second)
+		r.advance(3 * time.Second)
 		backup := r.platform.Snapshot()
 		for u := 2; u <= 5; u++ {
-			r.c.Assert(r.put(r.boxes[u%3], u, ""), qt.Equals, result.OK)
-			r.run(2 * time.Second)
+			r.c.Assert(r.putPriority(r.boxes[u%3], u, ""), qt.Equals, result.OK)
+			r.advance(2 * time.Second)
 		}
 		old, err := r.platform.Get(r.ctx, "Priority", "old")
 		r.c.Assert(err, qt.IsNil)
 		r.c.Assert(r.platform.Delete(r.ctx, "Priority", "old", old.Version), qt.IsNil)
-		r.run(3 * time.Second)
+		r.advance(3 * time.Second)
 		restore(r.platform, backup)
-		r.run(100 * time.Millisecond)
+		r.advance(100 * time.Millisecond)
 		fresh := r.addBox()
 		p, ok := fresh.catalog.Priority("gate")
 		r.c.Assert(ok, qt.IsTrue)
-		r.c.Check(p.Urgency, qt.Equals, 5, qt.Commentf("a box that starts after the restore"))
-		r.run(20 * time.Second)
+		r.c.Check(p.Urgency, qt.Equals, 5, qt.Commentf("box started after the restore"))
+		r.advance(20 * time.Second)
 		for i, b := range r.boxes {
 			_, ok := b.catalog.Priority("old")
-			r.c.Check(ok, qt.IsFalse, qt.Commentf("box %d has a deleted object again", i))
+			r.c.Check(ok, qt.IsFalse, qt.Commentf("deleted object is back on box %d", i))
 		}
 		o, err := r.platform.Get(r.ctx, "Priority", "gate")
 		r.c.Assert(err, qt.IsNil)
 		r.c.Check(string(o.Value), qt.Contains, `"urgency":5`)
 		_, err = r.platform.Get(r.ctx, "Priority", "old")
 		r.c.Check(err, qt.ErrorIs, objects.ErrNotFound)
-		// What is accepted after the restore is in force everywhere within seconds.
-		r.c.Assert(r.put(r.boxes[1], 6, ""), qt.Equals, result.OK)
-		r.run(6 * time.Second)
+		// A change that is accepted after the restore takes effect on every box within seconds.
+		r.c.Assert(r.putPriority(r.boxes[1], 6, ""), qt.Equals, result.OK)
+		r.advance(6 * time.Second)
 		for i, b := range r.boxes {
 			p, _ := b.catalog.Priority("gate")
 			r.c.Check(p.Urgency, qt.Equals, 6, qt.Commentf("box %d", i))
@@ -161,10 +162,10 @@
 	})
 }
 
-func TestAcceptedMeansInForceWithinSeconds(t *testing.T) {
-	inBubble(t, 5, func(r *rig) {
+func TestAcceptedChangeReachesBoxesWithinSeconds(t *testing.T) {
+	runInVirtualTime(t, 5, func(r *harness) {
 		for u := 1; u <= 20; u++ {
-			r.c.Assert(r.put(r.boxes[u%5], u, ""), qt.Equals, result.OK)
+			r.c.Assert(r.putPriority(r.boxes[u%5], u, ""), qt.Equals, result.OK)
 			began := time.Now()
 			for _, b := range r.boxes {
 				for p, ok := b.catalog.Priority("gate"); !ok || p.Urgency != u; p, ok = b.catalog.Priority("gate") {
@@ -176,9 +177,9 @@
 	})
 }
 
-func TestOperatorsRacing(t *testing.T) {
-	inBubble(t, 2, func(r *rig) {
-		r.c.Assert(r.put(r.boxes[0], 1, "?expect=0"), qt.Equals, result.OK)
+func TestOneOfTwoConcurrentConditionalWritesSucceeds(t *testing.T) {
+	runInVirtualTime(t, 2, func(r *harness) {
+		r.c.Assert(r.putPriority(r.boxes[0], 1, "?expect=0"), qt.Equals, result.OK)
 		o, err := r.platform.Get(r.ctx, "Priority", "gate")
 		r.c.Assert(err, qt.IsNil)
 		expect := fmt.Sprintf("?expect=%d", o.Version)
@@ -187,7 +188,7 @@
 		var group errgroup.Group
 		for i := range codes {
 			group.Go(func() error {
-				codes[i] = r.put(r.boxes[i], 10+i, expect)
+				codes[i] = r.putPriority(r.boxes[i], 10+i, expect)
 				return nil
 			})
 		}
@@ -204,11 +205,11 @@
 	})
 }
 
-func TestLostAnswerIsSettled(t *testing.T) {
-	inBubble(t, 1, func(r *rig) {
+func TestWriteWithLostAnswerSucceeds(t *testing.T) {
+	runInVirtualTime(t, 1, func(r *harness) {
 		r.platform.SetFaults(fakeplatform.Faults{LoseAnswers: 1})
-		r.c.Check(r.put(r.boxes[0], 7, ""), qt.Equals, result.OK)
-		r.run(3 * time.Second)
-		r.c.Check(r.boxes[0].seen, qt.Equals, 7)
+		r.c.Check(r.putPriority(r.boxes[0], 7, ""), qt.Equals, result.OK)
+		r.advance(3 * time.Second)
+		r.c.Check(r.boxes[0].lastUrgency, qt.Equals, 7)
 	})
 }
