--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -238,18 +238,18 @@
 		cl := newLargeCluster(t, 120)
 		defer cl.stopAll()
 		time.Sleep(15 * time.Second)
-		var leaver *node
+		var leavingNode *node
 		for _, n := range cl.runningNodes() {
 			if n.ownedCount() > 0 && n.name != cl.coordinator().name {
-				leaver = n
+				leavingNode = n
 			}
 		}
-		leaver.Leave()
+		leavingNode.Leave()
 		time.Sleep(2 * time.Second)
-		cl.c.Check(leaver.lastBeat().PassOn, qt.IsTrue)
-		cl.killBox(leaver.name)
+		cl.c.Check(leavingNode.lastBeat().PassOn, qt.IsTrue)
+		cl.killBox(leavingNode.name)
 		time.Sleep(100 * time.Millisecond)
-		last := leaver.lastBeat()
+		last := leavingNode.lastBeat()
 		cl.c.Check(last.PassOn, qt.IsFalse)
 		cl.c.Check(last.Released, qt.Not(qt.HasLen), 0)
 		cl.waitUntil(10*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -44,10 +44,10 @@
 }
 
 func (r *harness) addBox() *box {
-	first := len(r.boxes) == 0
+	isFirst := len(r.boxes) == 0
 	b := &box{catalog: catalog.New()}
 	peerCatalog := b.catalog
-	if !first {
+	if !isFirst {
 		peerCatalog = r.boxes[0].catalog
 	}
 	b.feed = feed.New(feed.Config{
@@ -57,7 +57,7 @@
 		},
 	})
 	b.operator = operator.New(operator.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Metrics: http.NotFoundHandler()}).Handler()
-	repairer := repair.New(repair.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Active: func() bool { return first }})
+	repairer := repair.New(repair.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Active: func() bool { return isFirst }})
 	r.group.Go(func() error { return b.feed.Serve(r.ctx) })
 	r.group.Go(func() error { return repairer.Serve(r.ctx) })
 	r.boxes = append(r.boxes, b)
@@ -84,12 +84,12 @@
 	for ; d > 0; d -= 100 * time.Millisecond {
 		time.Sleep(100 * time.Millisecond)
 		for i, b := range r.boxes {
-			now := 0
+			urgency := 0
 			if p, ok := b.catalog.Priority("gate"); ok {
-				now = p.Urgency
+				urgency = p.Urgency
 			}
-			r.c.Assert(now >= b.lastUrgency, qt.IsTrue, qt.Commentf("box %d has urgency %d after %d", i, now, b.lastUrgency))
-			b.lastUrgency = now
+			r.c.Assert(urgency >= b.lastUrgency, qt.IsTrue, qt.Commentf("box %d fell back to urgency %d after %d", i, urgency, b.lastUrgency))
+			b.lastUrgency = urgency
 		}
 	}
 }
@@ -166,11 +166,11 @@
 	runInVirtualTime(t, 5, func(r *harness) {
 		for u := 1; u <= 20; u++ {
 			r.c.Assert(r.putPriority(r.boxes[u%5], u, ""), qt.Equals, result.OK)
-			began := time.Now()
+			start := time.Now()
 			for _, b := range r.boxes {
 				for p, ok := b.catalog.Priority("gate"); !ok || p.Urgency != u; p, ok = b.catalog.Priority("gate") {
 					time.Sleep(10 * time.Millisecond)
-					r.c.Assert(time.Since(began) < 6*time.Second, qt.IsTrue, qt.Commentf("change %d", u))
+					r.c.Assert(time.Since(start) < 6*time.Second, qt.IsTrue, qt.Commentf("change %d", u))
 				}
 			}
 		}
@@ -193,15 +193,15 @@
 			})
 		}
 		r.c.Assert(group.Wait(), qt.IsNil)
-		won := 0
+		accepted := 0
 		for _, code := range codes {
 			if code == result.OK {
-				won++
+				accepted++
 				continue
 			}
 			r.c.Check(code, qt.Equals, result.Conflict)
 		}
-		r.c.Check(won, qt.Equals, 1)
+		r.c.Check(accepted, qt.Equals, 1)
 	})
 }
 
