--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// declared returns n adapters with one version each, as the platform lists them.
-func declared(n int) objects.Changes {
+// declaredAdapters returns the platform's list of n adapters with one version each.
+func declaredAdapters(n int) objects.Changes {
 	ch := objects.Changes{Revision: objects.Position(2*n + 1)}
 	add := func(name string, kind resource.Kind, spec resource.Spec) {
 		value, err := json.Marshal(resource.Resource{Kind: kind, Name: name, Spec: spec})
@@ -29,15 +29,15 @@
 	return ch
 }
 
-// fill takes a whole list in.
-func fill(tb testing.TB, c *catalog.Catalog, ch objects.Changes) {
+// applyList applies a full list to the catalog.
+func applyList(tb testing.TB, c *catalog.Catalog, ch objects.Changes) {
 	tb.Helper()
 	l := c.BeginList(ch.Revision)
 	l.Page(ch.Objects)
 	l.End()
 }
 
-func heap() float64 {
+func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -50,16 +50,16 @@
 func BenchmarkList(b *testing.B) {
 	for _, n := range catalogSizes {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
-			list := declared(n)
-			wire, _ := json.Marshal(list)
-			before := heap()
+			list := declaredAdapters(n)
+			encoded, _ := json.Marshal(list)
+			before := heapBytes()
 			var c *catalog.Catalog
 			for b.Loop() {
 				c = catalog.New()
-				fill(b, c, list)
+				applyList(b, c, list)
 			}
-			b.ReportMetric((heap()-before)/float64(n), "heap-B/adapter")
-			b.ReportMetric(float64(len(wire))/float64(n), "wire-B/adapter")
+			b.ReportMetric((heapBytes()-before)/float64(n), "heap-B/adapter")
+			b.ReportMetric(float64(len(encoded))/float64(n), "wire-B/adapter")
 			runtime.KeepAlive(c)
 			runtime.KeepAlive(list)
 		})
@@ -70,8 +70,8 @@
 	for _, n := range catalogSizes {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
 			c := catalog.New()
-			list := declared(n)
-			fill(b, c, list)
+			list := declaredAdapters(n)
+			applyList(b, c, list)
 			revision := list.Revision
 			o := list.Objects[0]
 			for b.Loop() {
@@ -90,7 +90,7 @@
 	for _, n := range catalogSizes {
 		b.Run(fmt.Sprintf("adapters=%d", n), func(b *testing.B) {
 			c := catalog.New()
-			fill(b, c, declared(n))
+			applyList(b, c, declaredAdapters(n))
 			ref := resource.Ref{Adapter: "adapter-00007", Version: "1"}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,4 +1,5 @@
-// Package catalog holds what is declared and the cell maps, as this box knows them; it never goes back.
+// Package catalog holds the declared resources and the cell maps that this box has received. An older form of an object never replaces a
+// newer one.
 package catalog
 
 import (
@@ -18,9 +19,9 @@
 )
 
 const (
-	// maxTombstones bounds how many deletions are remembered for other boxes.
+	// maxTombstones is the maximum number of deletions that are kept for other boxes.
 	maxTombstones = 4096
-	// maxRecent bounds the changes kept in order.
+	// maxRecent is the maximum number of changes that are kept in the order of their versions.
 	maxRecent = 512
 )
 
@@ -30,65 +31,71 @@
 }
 
 type entry struct {
-	// version is that of the platform; zero if the platform does not have this generation, as after a restore from an older copy.
+	// version is the object's version in the platform's store. It is zero if the store does not have this generation, for example after a
+	// restore from an older copy.
 	version    objects.Position
 	generation int64
-	// changed is the version with which the value last changed; later ones only repeated it.
-	changed objects.Position
-	// listing is the number of the last list that held the object.
-	listing int64
-	// size is about how many bytes the object takes in a message.
+	// changedAt is the version at which the value last changed. Later versions have the same value.
+	changedAt objects.Position
+	// lastListing is the number of the last full list that contained the object.
+	lastListing int64
+	// size is the approximate size of the object in a message, in bytes.
 	size int
-	// ahead says that the store, restored from an older copy, last had an older form of the object, which others may hold.
-	ahead bool
+	// newerThanStore is set if the store, restored from an older copy, last returned an older form of the object. Other boxes may hold that
+	// older form.
+	newerThanStore bool
 	// value is a resource.Spec or a *coordinator.Map.
 	value any
 }
 
-// tombstone remembers a deletion.
+// tombstone records the deletion of an object.
 type tombstone struct {
 	version    objects.Position
 	generation int64
-	// returned says that the platform holds the object again, as after a restore.
-	returned bool
-	// withheld is the object as the store has it again, while its kind is withheld; nil if it has not.
+	// backInStore is set if the store has the object again, for example after a restore from an older copy.
+	backInStore bool
+	// withheld is the deleted object that the store has again, while its kind is withheld. It is nil if the store does not have the object.
 	withheld *objects.Object
 }
 
-// Catalog is safe for use by many goroutines.
+// Catalog holds the objects that a box has received. It is safe for concurrent use.
 type Catalog struct {
 	mu sync.RWMutex
-	// entries holds objects by kind and name.
+	// entries holds the objects by kind and name.
 	entries  map[string]map[string]entry
 	versions map[string][]string
 	deleted  map[key]tombstone
-	// floor is the newest deletion no longer remembered.
-	floor    objects.Position
-	revision objects.Position
-	// listings counts the lists begun.
-	listings int64
-	changed  chan struct{}
-	skipped  int
-	// withholding holds the kinds of which deleted objects do not come back with a copy of the store.
-	withholding map[string]bool
-	// recent holds the last changes in order, complete after recentFrom, so that boxes that are nearly up to date cost little.
+	// deletionsFrom is the position after which all deletions are kept. It is the position of the newest dropped tombstone.
+	deletionsFrom objects.Position
+	revision      objects.Position
+	// listingCount is the number of full lists that were begun.
+	listingCount int64
+	nextChange   chan struct{}
+	skipped      int
+	// withheldKinds holds the kinds whose deleted objects stay deleted when a restored copy of the store contains them again.
+	withheldKinds map[string]bool
+	// recent holds the last changes in the order of their versions and is complete after recentFrom. Boxes that are nearly up to date are
+	// served from recent, which costs little.
 	recent     []objects.Object
 	recentFrom objects.Position
-	// topology is computed when asked for and dropped when a kind it is made of changes.
+	// topology is the routing view. It is computed on demand and dropped when an object of a kind that it is built from changes.
 	topology *Topology
-	// leaves, if set, reports whether an endpoint has said itself, in the life that began then, that it leaves.
-	leaves func(endpoint string, started int64) bool
-	// routes is made of routing, which is the routing configuration in force.
+	// isLeaving, if set, reports whether the endpoint itself has announced that it is leaving, in the run that began at started.
+	isLeaving func(endpoint string, started int64) bool
+	// routes is the table built from routing, the routing configuration in force.
 	routes  *route.Table
 	routing *resource.Routing
 }
 
 // New returns an empty Catalog.
 func New() *Catalog {
-	return &Catalog{entries: map[string]map[string]entry{}, versions: map[string][]string{}, deleted: map[key]tombstone{}, withholding: map[string]bool{}, changed: make(chan struct{})}
+	return &Catalog{
+		entries: map[string]map[string]entry{}, versions: map[string][]string{}, deleted: map[key]tombstone{},
+		withheldKinds: map[string]bool{}, nextChange: make(chan struct{}),
+	}
 }
 
-// WatchedKinds lists the object kinds that a catalog holds.
+// WatchedKinds returns the object kinds that a catalog holds.
 func WatchedKinds() []string {
 	kinds := []string{coordinator.MapKind}
 	for _, k := range resource.Kinds() {
@@ -108,32 +115,33 @@
 func (c *Catalog) Changed() <-chan struct{} {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.changed
+	return c.nextChange
 }
 
-// Skipped returns how many objects could not be read.
+// Skipped returns how many received objects were ignored because they could not be decoded or were invalid.
 func (c *Catalog) Skipped() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.skipped
 }
 
-// Apply takes changes since an earlier revision. Objects that are not newer than what is held are passed over; it returns how many are older.
+// Apply applies changes since an earlier revision. It skips objects that are not newer than their held form, and returns how many are older.
 func (c *Catalog) Apply(ch objects.Changes) (older int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range ch.Objects {
-		if c.apply(o) {
+		if c.applyObject(o) {
 			older++
 		}
 	}
-	c.remember(ch)
-	c.advance(ch.Revision, len(ch.Objects) > 0)
+	c.appendRecent(ch)
+	c.advanceRevision(ch.Revision, len(ch.Objects) > 0)
 	return older
 }
 
-// remember keeps changes for boxes that ask next. Changes are only kept in the order of their versions.
-func (c *Catalog) remember(ch objects.Changes) {
+// appendRecent keeps changes for the next requests of other boxes. It drops changes up to the catalog's revision, so that the kept changes
+// are in the order of their versions.
+func (c *Catalog) appendRecent(ch objects.Changes) {
 	fresh := slices.Clone(ch.Objects)
 	fresh = slices.DeleteFunc(fresh, func(o objects.Object) bool { return o.Version <= c.revision })
 	slices.SortFunc(fresh, func(a, b objects.Object) int { return cmp.Compare(a.Version, b.Version) })
@@ -144,24 +152,25 @@
 	}
 }
 
-func (c *Catalog) advance(revision objects.Position, changed bool) {
+func (c *Catalog) advanceRevision(revision objects.Position, changed bool) {
 	c.revision = max(c.revision, revision)
 	if changed {
-		close(c.changed)
-		c.changed = make(chan struct{})
+		close(c.nextChange)
+		c.nextChange = make(chan struct{})
 	}
 }
 
-// apply takes one object in and reports whether what is held is newer. Generations decide what is; of one generation, the platform's later version.
-func (c *Catalog) apply(o objects.Object) (older bool) {
+// applyObject applies one object and reports whether its held form is newer. The form with the higher generation is newer. Within a
+// generation, the form with the later version of the platform's store is newer.
+func (c *Catalog) applyObject(o objects.Object) (older bool) {
 	k := key{unique.Make(o.Kind).Value(), o.Name}
-	have, known := c.entries[k.kind][k.name]
-	if known && have.listing != c.listings {
-		have.listing = c.listings
-		c.entries[k.kind][k.name] = have
+	current, exists := c.entries[k.kind][k.name]
+	if exists && current.lastListing != c.listingCount {
+		current.lastListing = c.listingCount
+		c.entries[k.kind][k.name] = current
 	}
-	if last := max(have.version, c.deleted[k].version); o.Version <= last {
-		return o.Version < last
+	if lastVersion := max(current.version, c.deleted[k].version); o.Version <= lastVersion {
+		return o.Version < lastVersion
 	}
 	if o.Deleted {
 		c.remove(k, o.Version)
@@ -169,57 +178,62 @@
 	}
 	v, generation, err := decode(o)
 	if err != nil {
-		// An object this box cannot read keeps its last readable form.
+		// Keep the last readable form of an object that this box cannot read.
 		c.skipped++
 		return false
 	}
 	if t, ok := c.deleted[k]; ok && generation <= t.generation {
-		t.returned = true
+		t.backInStore = true
 		c.deleted[k] = t
 		return true
 	}
-	if known && generation < have.generation {
-		have.ahead = true
-		c.entries[k.kind][k.name] = have
+	if exists && generation < current.generation {
+		current.newerThanStore = true
+		c.entries[k.kind][k.name] = current
 		return true
 	}
-	if c.withhold(k, o) {
+	if c.withholdDeleted(k, o) {
 		return true
 	}
 	delete(c.deleted, k)
-	ahead := stillLeaving(have.value, v)
-	if known && reflect.DeepEqual(have.value, v) {
-		if have.ahead && !ahead {
-			have.changed = o.Version
+	keptLeaving := keepLeaving(current.value, v)
+	if exists && reflect.DeepEqual(current.value, v) {
+		if current.newerThanStore && !keptLeaving {
+			current.changedAt = o.Version
 		}
-		have.version, have.generation, have.listing, have.ahead = o.Version, generation, c.listings, ahead
-		c.entries[k.kind][k.name] = have
+		current.version, current.generation, current.lastListing, current.newerThanStore = o.Version, generation, c.listingCount, keptLeaving
+		c.entries[k.kind][k.name] = current
 		return false
 	}
-	c.add(k, entry{version: o.Version, changed: o.Version, generation: generation, listing: c.listings, size: sizeOf(o), value: v, ahead: ahead})
+	c.add(k, entry{
+		version: o.Version, changedAt: o.Version, generation: generation, lastListing: c.listingCount,
+		size: messageSize(o), value: v, newerThanStore: keptLeaving,
+	})
 	return false
 }
 
-// stillLeaving keeps an endpoint leaving that was known to leave in the same life, and reports whether its new entry says otherwise: leaving is final, and
-// a copy of the store may be older than the word.
-func stillLeaving(had, now any) bool {
-	before, ok := had.(*resource.Endpoint)
-	if !ok || !before.Leaving {
+// keepLeaving marks the updated endpoint as leaving if the previous one was leaving in the same run. It reports whether it changed the
+// updated endpoint. Leaving is final, and a restored copy of the store may be older than the time at which the endpoint began to leave.
+func keepLeaving(previous, updated any) bool {
+	previousEndpoint, ok := previous.(*resource.Endpoint)
+	if !ok || !previousEndpoint.Leaving {
 		return false
 	}
-	after, ok := now.(*resource.Endpoint)
-	if !ok || after.Leaving || after.Started != before.Started || after.Address != before.Address {
+	updatedEndpoint, ok := updated.(*resource.Endpoint)
+	if !ok || updatedEndpoint.Leaving || updatedEndpoint.Started != previousEndpoint.Started ||
+		updatedEndpoint.Address != previousEndpoint.Address {
 		return false
 	}
-	after.Leaving = true
+	updatedEndpoint.Leaving = true
 	return true
 }
 
-// withhold keeps an object that was deleted in an earlier era apart while its kind is withheld, and reports whether it does. A copy of the store has objects
-// again that have gone since; one that is written again in the new era has a later version and is taken in.
-func (c *Catalog) withhold(k key, o objects.Object) bool {
-	t, gone := c.deleted[k]
-	if !gone || !c.withholding[k.kind] || t.version.Era() == o.Version.Era() || t.isWritten(o) {
+// withholdDeleted withholds an object that was deleted in an earlier era while its kind is withheld, and reports whether it did. A restored
+// copy of the store contains objects that were deleted after the copy was made. An object that is written again in the new era has a later
+// version and is applied.
+func (c *Catalog) withholdDeleted(k key, o objects.Object) bool {
+	t, wasDeleted := c.deleted[k]
+	if !wasDeleted || !c.withheldKinds[k.kind] || t.version.Era() == o.Version.Era() || t.isRewrittenBy(o) {
 		return false
 	}
 	t.withheld = &o
@@ -227,62 +241,63 @@
 	return true
 }
 
-// isWritten reports whether an object that is withheld has been written since.
-func (t tombstone) isWritten(o objects.Object) bool {
+// isRewrittenBy reports whether o is a later write, in the same era, of the withheld object.
+func (t tombstone) isRewrittenBy(o objects.Object) bool {
 	return t.withheld != nil && t.withheld.Version.Era() == o.Version.Era() && t.withheld.Version < o.Version
 }
 
-// Withhold begins to withhold objects of a kind that were deleted in an earlier era and are there again.
+// Withhold starts to withhold the objects of a kind that were deleted in an earlier era and are in the store again.
 func (c *Catalog) Withhold(kind string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.withholding[kind] = true
+	c.withheldKinds[kind] = true
 }
 
-// Withheld returns how many objects are withheld.
+// Withheld returns the number of objects that are withheld.
 func (c *Catalog) Withheld() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	n := 0
 	for k, t := range c.deleted {
-		if t.withheld != nil && c.withholding[k.kind] {
+		if t.withheld != nil && c.withheldKinds[k.kind] {
 			n++
 		}
 	}
 	return n
 }
 
-// Admit ends what Withhold began, takes in what is still there and returns it.
+// Admit ends the withholding that Withhold started. It applies the withheld objects that the store still has and returns them.
 func (c *Catalog) Admit(kind string) []objects.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.withholding, kind)
-	var all []objects.Object
+	delete(c.withheldKinds, kind)
+	var withheld []objects.Object
 	for k, t := range c.deleted {
 		if k.kind == kind && t.withheld != nil {
-			all = append(all, *t.withheld)
+			withheld = append(withheld, *t.withheld)
 		}
 	}
-	for _, o := range all {
-		c.apply(o)
+	for _, o := range withheld {
+		c.applyObject(o)
 	}
-	c.advance(c.revision, len(all) > 0)
-	return all
+	c.advanceRevision(c.revision, len(withheld) > 0)
+	return withheld
 }
 
-// Touch counts an object as changed with its present version though it is as before: others may have dropped it meanwhile.
+// Touch counts an object as changed at its present version although its value is the same. Other boxes may have dropped the object in the
+// meantime.
 func (c *Catalog) Touch(kind, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e, ok := c.entries[kind][name]; ok {
-		e.changed = e.version
+		e.changedAt = e.version
 		c.entries[kind][name] = e
 	}
 }
 
-// add sets an entry and notes a version of an adapter that was not known.
+// add sets an entry. If the entry is a new adapter version, add also adds it to the adapter's versions.
 func (c *Catalog) add(k key, e entry) {
-	if _, known := c.entries[k.kind][k.name]; !known && k.kind == string(resource.KindAdapterVersion) {
+	if _, exists := c.entries[k.kind][k.name]; !exists && k.kind == string(resource.KindAdapterVersion) {
 		adapter, version, _ := strings.Cut(k.name, "@")
 		c.versions[adapter] = append(c.versions[adapter], version)
 	}
@@ -294,11 +309,11 @@
 		c.entries[k.kind] = map[string]entry{}
 	}
 	c.entries[k.kind][k.name] = e
-	c.touched(k.kind)
+	c.invalidateTopologyFor(k.kind)
 }
 
-// touched drops the routing view if it is made of kind.
-func (c *Catalog) touched(kind string) {
+// invalidateTopologyFor drops the routing view if the view is built from objects of the kind.
+func (c *Catalog) invalidateTopologyFor(kind string) {
 	switch kind {
 	case coordinator.MapKind, string(resource.KindEngine), string(resource.KindServing), string(resource.KindRouting), string(resource.KindEndpoint),
 		string(resource.KindHolding):
@@ -309,7 +324,7 @@
 func (c *Catalog) remove(k key, version objects.Position) {
 	generation := max(c.entries[k.kind][k.name].generation, c.deleted[k].generation)
 	delete(c.entries[k.kind], k.name)
-	c.touched(k.kind)
+	c.invalidateTopologyFor(k.kind)
 	if adapter, v, ok := strings.Cut(k.name, "@"); ok && k.kind == string(resource.KindAdapterVersion) {
 		c.versions[adapter] = slices.DeleteFunc(c.versions[adapter], func(s string) bool { return s == v })
 		if len(c.versions[adapter]) == 0 {
@@ -318,20 +333,20 @@
 	}
 	c.deleted[k] = tombstone{version: version, generation: generation}
 	if len(c.deleted) > maxTombstones {
-		c.forgetDeletions()
+		c.dropOldTombstones()
 	}
 }
 
-// forgetDeletions drops the older half; sources that ask from before then have to list.
-func (c *Catalog) forgetDeletions() {
-	all := make([]objects.Position, 0, len(c.deleted))
+// dropOldTombstones drops the older half of the tombstones. Boxes that request changes from an earlier position must list all objects.
+func (c *Catalog) dropOldTombstones() {
+	versions := make([]objects.Position, 0, len(c.deleted))
 	for _, t := range c.deleted {
-		all = append(all, t.version)
+		versions = append(versions, t.version)
 	}
-	slices.Sort(all)
-	c.floor = all[len(all)/2]
+	slices.Sort(versions)
+	c.deletionsFrom = versions[len(versions)/2]
 	for k, t := range c.deleted {
-		if t.version <= c.floor {
+		if t.version <= c.deletionsFrom {
 			delete(c.deleted, k)
 		}
 	}
@@ -348,13 +363,13 @@
 		return nil, 0, err
 	}
 	if string(r.Kind) != o.Kind || r.Name != o.Name {
-		return nil, 0, errors.New("catalog: kind or name does not match the object")
+		return nil, 0, errors.New("catalog: kind or name in the value differs from the object's kind or name")
 	}
-	return shareText(r.Spec), r.Generation, r.Check()
+	return internStrings(r.Spec), r.Generation, r.Check()
 }
 
-// shareText keeps one copy of the words that thousands of adapters have in common.
-func shareText(s resource.Spec) resource.Spec {
+// internStrings shares one copy of each string that thousands of adapters have in common.
+func internStrings(s resource.Spec) resource.Spec {
 	if a, ok := s.(*resource.Adapter); ok {
 		a.BaseModel = unique.Make(a.BaseModel).Value()
 		a.Cooperative = unique.Make(a.Cooperative).Value()
@@ -363,17 +378,17 @@
 	return s
 }
 
-// Since returns what changed after revision from, or objects.ErrGone if that is no longer known.
+// Since returns the changes after revision from, or objects.ErrGone if they are no longer kept.
 func (c *Catalog) Since(from objects.Position) (objects.Changes, error) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	if from < c.floor || from > c.revision || from.Era() != c.revision.Era() {
+	if from < c.deletionsFrom || from > c.revision || from.Era() != c.revision.Era() {
 		return objects.Changes{}, objects.ErrGone
 	}
 	ch := objects.Changes{Revision: c.revision}
 	if from >= c.recentFrom {
-		after, _ := slices.BinarySearchFunc(c.recent, from+1, func(o objects.Object, v objects.Position) int { return cmp.Compare(o.Version, v) })
-		ch.Objects = slices.Clone(c.recent[after:])
+		first, _ := slices.BinarySearchFunc(c.recent, from+1, func(o objects.Object, v objects.Position) int { return cmp.Compare(o.Version, v) })
+		ch.Objects = slices.Clone(c.recent[first:])
 		return ch, nil
 	}
 	for kind, byName := range c.entries {
@@ -391,7 +406,7 @@
 	return ch, nil
 }
 
-// All returns everything, for a box that starts.
+// All returns all held objects, for a box that starts.
 func (c *Catalog) All() objects.Changes {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -409,7 +424,7 @@
 	if s, ok := v.(resource.Spec); ok {
 		v = resource.Resource{Kind: resource.Kind(k.kind), Name: k.name, Generation: e.generation, Spec: s}
 	}
-	// The types held here have no values that cannot be encoded.
+	// Encoding cannot fail: JSON can encode every value of the held types.
 	b, _ := json.Marshal(v)
 	return objects.Object{Kind: k.kind, Name: k.name, Version: e.version, Value: b}
 }
--- a/internal/catalog/listing.go
+++ b/internal/catalog/listing.go
@@ -7,30 +7,30 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// Listing takes a full list in, page by page, so that a list of any length costs the memory of a page.
+// Listing applies a full list of objects page by page, so that a list of any length needs the memory of one page only.
 type Listing struct {
 	catalog  *Catalog
 	revision objects.Position
-	// Behind says that the list is older than what the catalog was complete to, or of a later era: a stale read or a platform restored from an
-	// older copy. Nothing is dropped or taken back then; Unstored says what the platform lost.
+	// Behind is set if the list ends before the catalog's revision or is of a later era. The cause is a stale read, or a platform that was
+	// restored from an older copy. Such a list neither removes nor reverts objects. Unstored returns the objects that the platform lost.
 	Behind bool
 }
 
-// BeginList starts a list that is complete up to revision.
+// BeginList starts to apply a list that is complete up to revision.
 func (c *Catalog) BeginList(revision objects.Position) *Listing {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.listings++
+	c.listingCount++
 	l := &Listing{catalog: c, revision: revision, Behind: revision < c.revision || c.revision != 0 && revision.Era() > c.revision.Era()}
 	if l.Behind {
-		c.forgetVersions()
+		c.resetVersions()
 	}
 	return l
 }
 
-// forgetVersions makes every version the platform names from now on count as later than those it named before.
-func (c *Catalog) forgetVersions() {
-	c.revision, c.floor = 0, 0
+// resetVersions sets all held versions to zero, so that every version that the platform sends from now on counts as later.
+func (c *Catalog) resetVersions() {
+	c.revision, c.deletionsFrom = 0, 0
 	for kind, byName := range c.entries {
 		for name, e := range byName {
 			e.version = 0
@@ -43,58 +43,58 @@
 	}
 }
 
-// Page takes a part of the list in.
-func (l *Listing) Page(changed []objects.Object) {
+// Page applies one page of the list.
+func (l *Listing) Page(page []objects.Object) {
 	l.catalog.mu.Lock()
 	defer l.catalog.mu.Unlock()
-	for _, o := range changed {
-		l.catalog.apply(o)
+	for _, o := range page {
+		l.catalog.applyObject(o)
 	}
 }
 
-// End drops what no page held, unless it is newer than the list or the list is behind.
+// End removes the objects that no page contained. It keeps objects that are newer than the list, and keeps all objects if Behind is set.
 func (l *Listing) End() {
 	c := l.catalog
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for kind, byName := range c.entries {
 		for name, e := range byName {
-			if !l.Behind && e.listing != c.listings && e.version > 0 && e.version <= l.revision {
+			if !l.Behind && e.lastListing != c.listingCount && e.version > 0 && e.version <= l.revision {
 				c.remove(key{kind, name}, l.revision)
 			}
 		}
 	}
 	c.recent, c.recentFrom = nil, l.revision
-	c.advance(l.revision, true)
+	c.advanceRevision(l.revision, true)
 }
 
-// Merge takes in what another box holds and the platform has lost.
-func (c *Catalog) Merge(changed []objects.Object) {
+// Merge adds objects that the platform has lost and another box holds.
+func (c *Catalog) Merge(lost []objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, o := range changed {
-		c.merge(o)
+	for _, o := range lost {
+		c.mergeObject(o)
 	}
-	c.advance(c.revision, len(changed) > 0)
+	c.advanceRevision(c.revision, len(lost) > 0)
 }
 
-func (c *Catalog) merge(o objects.Object) {
+func (c *Catalog) mergeObject(o objects.Object) {
 	k := key{o.Kind, o.Name}
-	have := max(c.entries[k.kind][k.name].generation, c.deleted[k].generation)
+	currentGeneration := max(c.entries[k.kind][k.name].generation, c.deleted[k].generation)
 	if o.Deleted {
-		if generation := GenerationOf(o); generation >= have {
+		if generation := GenerationOf(o); generation >= currentGeneration {
 			c.remove(k, 0)
-			c.deleted[k] = tombstone{generation: generation, returned: true}
+			c.deleted[k] = tombstone{generation: generation, backInStore: true}
 		}
 		return
 	}
 	v, generation, err := decode(o)
-	if err != nil || generation <= have {
+	if err != nil || generation <= currentGeneration {
 		return
 	}
 	c.remove(k, 0)
 	delete(c.deleted, k)
-	c.add(k, entry{generation: generation, listing: c.listings, size: sizeOf(o), value: v})
+	c.add(k, entry{generation: generation, lastListing: c.listingCount, size: messageSize(o), value: v})
 }
 
 // GenerationOf returns the generation of a stored object, zero if it has none.
@@ -102,19 +102,19 @@
 	var v struct {
 		Generation int64 `json:"generation"`
 	}
-	// An object that cannot be read counts as the oldest.
+	// An object that cannot be decoded has generation zero and so counts as the oldest.
 	_ = json.Unmarshal(o.Value, &v)
 	return v.Generation
 }
 
-// Generation returns the generation of an object, deleted ones included.
+// Generation returns the generation of a held or deleted object.
 func (c *Catalog) Generation(kind, name string) int64 {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return max(c.entries[kind][name].generation, c.deleted[key{kind, name}].generation)
 }
 
-// Unstored returns up to limit declared objects that the platform has lost, or has again though they were deleted.
+// Unstored returns up to limit declared objects that the platform has lost, or that it has again although they were deleted.
 func (c *Catalog) Unstored(limit int) []objects.Object {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -130,7 +130,7 @@
 		}
 	}
 	for k, t := range c.deleted {
-		if t.returned && len(lost) < limit {
+		if t.backInStore && len(lost) < limit {
 			value, _ := json.Marshal(struct {
 				Generation int64 `json:"generation"`
 			}{t.generation})
@@ -140,14 +140,14 @@
 	return lost
 }
 
-// KindSince returns the objects of a kind whose values changed after revision from, deletions included, and whether that is all
-// that changed: deletions that are no longer remembered make it a full list instead.
+// KindSince returns the objects of a kind whose values changed after revision from, including deletions, and whether the changes are
+// complete. If from is zero or deletions after it are no longer kept, KindSince returns all objects of the kind and false.
 func (c *Catalog) KindSince(kind string, from objects.Position) (changed []objects.Object, complete bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	complete = from > 0 && from >= c.floor
+	complete = from > 0 && from >= c.deletionsFrom
 	for name, e := range c.entries[kind] {
-		if !complete || e.changed > from {
+		if !complete || e.changedAt > from {
 			changed = append(changed, encode(key{kind, name}, e))
 		}
 	}
@@ -159,24 +159,26 @@
 	return changed, complete
 }
 
-// objectFrame is about how many bytes an object takes in a message besides its name and value.
-const objectFrame = 64
+// objectOverhead is the approximate size of an object in a message, in bytes, without its kind, name and value.
+const objectOverhead = 64
 
-func sizeOf(o objects.Object) int { return objectFrame + len(o.Kind) + len(o.Name) + len(o.Value) }
+func messageSize(o objects.Object) int {
+	return objectOverhead + len(o.Kind) + len(o.Name) + len(o.Value)
+}
 
-// KindSize returns about how many bytes what KindSince returns takes in a message, without encoding it.
+// KindSize returns the approximate size in a message, in bytes, of the objects that KindSince returns. It does not encode them.
 func (c *Catalog) KindSize(kind string, from objects.Position) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	complete, size := from > 0 && from >= c.floor, 0
+	complete, size := from > 0 && from >= c.deletionsFrom, 0
 	for _, e := range c.entries[kind] {
-		if !complete || e.changed > from {
+		if !complete || e.changedAt > from {
 			size += e.size
 		}
 	}
 	for k, t := range c.deleted {
 		if complete && k.kind == kind && t.version > from {
-			size += objectFrame + len(kind) + len(k.name)
+			size += objectOverhead + len(kind) + len(k.name)
 		}
 	}
 	return size
--- a/internal/catalog/lookup.go
+++ b/internal/catalog/lookup.go
@@ -45,7 +45,7 @@
 	return slices.Clone(c.versions[adapter])
 }
 
-// LatestVersion returns the version of an adapter with the highest number; versions that are no numbers do not count.
+// LatestVersion returns the highest version number of an adapter. It ignores versions that are not numbers.
 func (c *Catalog) LatestVersion(adapter string) (int64, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -63,7 +63,7 @@
 	return lookup[resource.Priority](c, string(resource.KindPriority), name)
 }
 
-// Cooperative returns a declared co-operative.
+// Cooperative returns a declared cooperative, that is, a customer.
 func (c *Catalog) Cooperative(name string) (*resource.Cooperative, bool) {
 	return lookup[resource.Cooperative](c, string(resource.KindCooperative), name)
 }
@@ -78,7 +78,7 @@
 	return lookup[resource.Engine](c, string(resource.KindEngine), name)
 }
 
-// Map returns the map of a cell and its object version.
+// Map returns the map of a cell and the version of the map's object.
 func (c *Catalog) Map(cell string) (coordinator.Map, objects.Position, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -90,13 +90,13 @@
 	return *m, e.version, true
 }
 
-// Item is one held resource.
+// Item is a held resource with its version.
 type Item struct {
 	Resource resource.Resource `json:"resource"`
 	Version  objects.Position  `json:"version"`
 }
 
-// Resource returns one held resource.
+// Resource returns the held resource with the given kind and name.
 func (c *Catalog) Resource(kind resource.Kind, name string) (Item, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -105,7 +105,7 @@
 	return Item{resource.Resource{Kind: kind, Name: name, Spec: s}, e.version}, ok
 }
 
-// Resources returns the resources of a kind whose names start with prefix, ordered by name.
+// Resources returns the resources of a kind whose names start with prefix, sorted by name.
 func (c *Catalog) Resources(kind resource.Kind, prefix string) []Item {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/catalog/size_test.go
+++ b/internal/catalog/size_test.go
@@ -13,7 +13,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestKindSize compares the size told with what the changes take in a message.
+// TestKindSize checks that KindSize is within a quarter of the encoded size of the changes.
 func TestKindSize(t *testing.T) {
 	c := qt.New(t)
 	kind := string(resource.KindEndpoint)
@@ -32,14 +32,14 @@
 		}})
 	}
 	for _, test := range []struct {
-		name string
-		from objects.Position
-		none bool
+		name     string
+		from     objects.Position
+		wantZero bool
 	}{
 		{name: "all", from: 0},
 		{name: "some", from: 50},
 		{name: "deletions", from: 100},
-		{name: "none", from: 110, none: true},
+		{name: "none", from: 110, wantZero: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -47,11 +47,12 @@
 			message, err := json.Marshal(changed)
 			c.Assert(err, qt.IsNil)
 			size := cat.KindSize(kind, test.from)
-			if test.none {
+			if test.wantZero {
 				c.Check(size, qt.Equals, 0)
 				return
 			}
-			c.Check(size > len(message)*3/4 && size < len(message)*5/4, qt.IsTrue, qt.Commentf("%d told, %d sent", size, len(message)))
+			c.Check(size > len(message)*3/4 && size < len(message)*5/4, qt.IsTrue,
+				qt.Commentf("KindSize returned %d bytes, encoded %d bytes", size, len(message)))
 		})
 	}
 }
--- a/internal/catalog/topology.go
+++ b/internal/catalog/topology.go
@@ -11,49 +11,49 @@
 	"github.com/bellgap/bellgap/internal/route"
 )
 
-// EngineView is a declared engine with its owner, if it has one.
+// EngineView is an engine with its owner, if it has one.
 type EngineView struct {
 	Name  string
 	Spec  *resource.Engine
 	Owner coordinator.Member
 	Epoch uint64
-	// Leaving says that the engine's box is leaving: it gets no new work.
+	// Leaving is set if the engine or its box is leaving. The engine gets no new work.
 	Leaving bool
 }
 
-// EndpointView is a running instance of a service.
+// EndpointView is a running endpoint of a service.
 type EndpointView struct {
 	Name string
 	Spec *resource.Endpoint
-	// Holds lists the adapter versions that discovery shows there, nil if that is not followed.
+	// Holds lists the adapter versions that the endpoint holds according to discovery. It is nil if discovery does not report them.
 	Holds []string
 }
 
 // RoutingName is the name of the one resource that holds the routing configuration.
 const RoutingName = "main"
 
-// Topology is the routing view of one catalog state. It is never changed.
+// Topology is the routing view of one state of the catalog. It is immutable.
 type Topology struct {
-	// Engines holds all declared engines by name.
+	// Engines holds all engines by name, including endpoints of services that run models.
 	Engines map[string]EngineView
-	// ByModel lists the names of the engines with a live owner, for each base model.
+	// ByModel lists, for each base model, the names of the engines that have a live owner and are not on a leaving box.
 	ByModel map[string][]string
 	// Boxes lists the live boxes of all cells by name.
 	Boxes map[string]coordinator.Member
-	// Endpoints lists the endpoints of each service, ordered by name.
+	// Endpoints lists the endpoints of each service, sorted by name.
 	Endpoints map[string][]EndpointView
-	// Routes is the routing configuration in force, nil while none is known.
+	// Routes is the routing configuration in force. It is nil until one has been received.
 	Routes *route.Table
 	// Serving holds the serving configuration of each base model.
 	Serving map[string]*resource.Serving
-	// Schedulers names the box that schedules the loads of each region: the coordinator of its first cell.
+	// Schedulers holds, for each region, the box that schedules adapter loads. This box is the coordinator of the region's first cell.
 	Schedulers map[string]coordinator.Member
-	// Quarantined lists the requests that cell maps say reach no endpoint.
-	Quarantined []quarantine.Held
-	leaving     map[string]bool
+	// Quarantined lists the requests that, according to the cell maps, must not reach any endpoint.
+	Quarantined  []quarantine.Held
+	leavingBoxes map[string]bool
 }
 
-// defaultMaxEngines is how many engines are tried for one request where the serving configuration names no other number.
+// defaultMaxEngines is how many engines are tried for one request if the base model has no serving configuration.
 const defaultMaxEngines = 3
 
 // MaxEngines returns how many engines of a base model are tried for one request.
@@ -64,7 +64,7 @@
 	return defaultMaxEngines
 }
 
-// Topology returns the routing view of the present state.
+// Topology returns the routing view of the current state. It computes the view if a change has invalidated it.
 func (c *Catalog) Topology() *Topology {
 	c.mu.RLock()
 	t := c.topology
@@ -80,29 +80,29 @@
 	return c.topology
 }
 
-// Overlay sets what tells which endpoints have said themselves that they leave. What they say is newer than what discovery has of it, and final for the
-// life that began at started.
-func (c *Catalog) Overlay(leaves func(endpoint string, started int64) bool) {
+// Overlay sets the function that reports whether an endpoint itself has announced that it is leaving. The announcement is newer than the
+// state in discovery, and final for the run of the endpoint that began at started.
+func (c *Catalog) Overlay(isLeaving func(endpoint string, started int64) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaves, c.topology = leaves, nil
+	c.isLeaving, c.topology = isLeaving, nil
 }
 
-// Refresh makes the routing view anew, as endpoints have said something.
+// Refresh drops the routing view after an announcement of an endpoint. The next call of Topology computes it again.
 func (c *Catalog) Refresh() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.topology = nil
 }
 
-// withLeaving returns an endpoint as leaving if it has said so.
-func (c *Catalog) withLeaving(name string, e *resource.Endpoint) *resource.Endpoint {
-	if e.Leaving || c.leaves == nil || !c.leaves(name, e.Started) {
+// withReportedLeaving returns the endpoint. If the endpoint has announced that it is leaving, the result is a copy marked as leaving.
+func (c *Catalog) withReportedLeaving(name string, e *resource.Endpoint) *resource.Endpoint {
+	if e.Leaving || c.isLeaving == nil || !c.isLeaving(name, e.Started) {
 		return e
 	}
-	left := *e
-	left.Leaving = true
-	return &left
+	leavingEndpoint := *e
+	leavingEndpoint.Leaving = true
+	return &leavingEndpoint
 }
 
 func (c *Catalog) computeTopology() *Topology {
@@ -112,29 +112,30 @@
 		Routes: c.routeTable(),
 	}
 	owners := map[string]coordinator.Ownership{}
-	t.leaving, t.Schedulers = map[string]bool{}, map[string]coordinator.Member{}
+	t.leavingBoxes, t.Schedulers = map[string]bool{}, map[string]coordinator.Member{}
 	for _, cell := range slices.Sorted(maps.Keys(c.entries[coordinator.MapKind])) {
-		t.addMap(c.entries[coordinator.MapKind][cell], owners)
+		t.addCellMap(c.entries[coordinator.MapKind][cell], owners)
 	}
-	for _, it := range c.resources(resource.KindEngine, "") {
-		if e, ok := it.Resource.Spec.(*resource.Engine); ok {
-			t.addEngine(it.Resource.Name, e, owners[it.Resource.Name])
+	for _, item := range c.resources(resource.KindEngine, "") {
+		if e, ok := item.Resource.Spec.(*resource.Engine); ok {
+			t.addEngine(item.Resource.Name, e, owners[item.Resource.Name])
 		}
 	}
-	for _, it := range c.resources(resource.KindEndpoint, "") {
-		if e, ok := it.Resource.Spec.(*resource.Endpoint); ok {
-			t.addEndpoint(it.Resource.Name, c.withLeaving(it.Resource.Name, e), c.holds(it.Resource.Name), owners[it.Resource.Name])
+	for _, item := range c.resources(resource.KindEndpoint, "") {
+		if e, ok := item.Resource.Spec.(*resource.Endpoint); ok {
+			t.addEndpoint(item.Resource.Name, c.withReportedLeaving(item.Resource.Name, e), c.heldVersions(item.Resource.Name),
+				owners[item.Resource.Name])
 		}
 	}
-	for _, it := range c.resources(resource.KindServing, "") {
-		if s, ok := it.Resource.Spec.(*resource.Serving); ok && t.Serving[s.BaseModel] == nil {
+	for _, item := range c.resources(resource.KindServing, "") {
+		if s, ok := item.Resource.Spec.(*resource.Serving); ok && t.Serving[s.BaseModel] == nil {
 			t.Serving[s.BaseModel] = s
 		}
 	}
 	return t
 }
 
-func (c *Catalog) holds(endpoint string) []string {
+func (c *Catalog) heldVersions(endpoint string) []string {
 	h, ok := c.entries[string(resource.KindHolding)][endpoint].value.(*resource.Holding)
 	if !ok {
 		return nil
@@ -142,7 +143,7 @@
 	return h.Holds
 }
 
-// routeTable returns the table of the routing configuration; it is made anew only when that has changed.
+// routeTable returns the table of the routing configuration. It builds a new table only if the configuration has changed.
 func (c *Catalog) routeTable() *route.Table {
 	r, ok := c.entries[string(resource.KindRouting)][RoutingName].value.(*resource.Routing)
 	if ok && r != c.routing {
@@ -151,7 +152,7 @@
 	return c.routes
 }
 
-func (t *Topology) addMap(e entry, owners map[string]coordinator.Ownership) {
+func (t *Topology) addCellMap(e entry, owners map[string]coordinator.Ownership) {
 	m, ok := e.value.(*coordinator.Map)
 	if !ok {
 		return
@@ -166,14 +167,14 @@
 		t.Schedulers[m.Region] = b
 	}
 	for _, box := range m.Leaving {
-		t.leaving[box] = true
+		t.leavingBoxes[box] = true
 	}
 	t.Quarantined = append(t.Quarantined, m.Quarantined...)
 }
 
-// addEndpoint takes an endpoint in; one of a service of engines is an engine too.
-func (t *Topology) addEndpoint(name string, e *resource.Endpoint, holds []string, o coordinator.Ownership) {
-	t.Endpoints[e.Service] = append(t.Endpoints[e.Service], EndpointView{name, e, holds})
+// addEndpoint adds an endpoint. It also adds an endpoint as an engine if its service runs models.
+func (t *Topology) addEndpoint(name string, e *resource.Endpoint, heldVersions []string, o coordinator.Ownership) {
+	t.Endpoints[e.Service] = append(t.Endpoints[e.Service], EndpointView{name, e, heldVersions})
 	if t.Routes == nil {
 		return
 	}
@@ -184,22 +185,24 @@
 	model := baseModel(name, e, s.Engine)
 	t.addEngine(name, &resource.Engine{
 		Address: e.Address, Zone: e.Zone, BaseModel: model, Slots: s.Engine.Slots(model) - spareSlots, Batch: s.Engine.Batch,
-		Service: e.Service, FinishesFirst: true, KVTokens: int(kvShare * float64(s.Engine.KVTokens)), Started: e.Started,
+		Service: e.Service, FinishesFirst: true, KVTokens: int(kvFillLimit * float64(s.Engine.KVTokens)), Started: e.Started,
 	}, o)
 	if e.Leaving {
-		t.close(name)
+		t.markLeaving(name)
 	}
 }
 
 const (
-	// spareSlots is left free on a discovered engine, for an adapter whose load ended without an answer. Using it as well gained nothing (0.490
-	// of worth in place of 0.488 where it is one of eight).
+	// spareSlots is how many adapter slots stay free on a discovered engine, for an adapter whose load ended without an answer. Using this
+	// slot as well gained nothing: with eight slots, the measured worth was 0.490 instead of 0.488.
 	spareSlots = 1
-	// kvShare is the part of an engine's cache that running requests may fill by their callers' guesses, which are often low.
-	kvShare = 0.9
+	// kvFillLimit is the share of an engine's KV cache that running requests may fill according to their callers' estimates. The estimates
+	// are often too low.
+	kvFillLimit = 0.9
 )
 
-// baseModel returns the base model that an endpoint holds or, if it holds none, the one that every box picks for it.
+// baseModel returns the base model that an endpoint holds. If the endpoint holds none, it returns a model that is chosen by the endpoint's
+// name, so that every box chooses the same model.
 func baseModel(name string, e *resource.Endpoint, class *resource.EngineClass) string {
 	if e.BaseModel != "" {
 		return e.BaseModel
@@ -214,15 +217,15 @@
 	return placement.Top(name, models, 1)[0]
 }
 
-// close marks an engine as one that gets no new work.
-func (t *Topology) close(name string) {
+// markLeaving marks an engine as leaving, so that it gets no new work.
+func (t *Topology) markLeaving(name string) {
 	v := t.Engines[name]
 	v.Leaving = true
 	t.Engines[name] = v
 }
 
 func (t *Topology) addEngine(name string, e *resource.Engine, o coordinator.Ownership) {
-	v := EngineView{Name: name, Spec: e, Epoch: o.Epoch, Leaving: e.Box != "" && t.leaving[e.Box]}
+	v := EngineView{Name: name, Spec: e, Epoch: o.Epoch, Leaving: e.Box != "" && t.leavingBoxes[e.Box]}
 	if b, ok := t.Boxes[o.Owner]; ok {
 		v.Owner = b
 	}
--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -1,4 +1,5 @@
-// Package customer decides whose a request is and what it counts against that customer's quota. It does no I/O and reads no clock.
+// Package customer identifies the customer of a request and computes the cost of the request against the customer's quota. It does no I/O
+// and reads no clock.
 package customer
 
 import (
@@ -6,17 +7,17 @@
 	"fmt"
 )
 
-// Bounds of what is declared.
+// Limits of the customers in a routing configuration.
 const (
-	// maxCustomers and maxKeys bound a configuration: 4 MiB of it hold some 200,000 keys.
+	// maxCustomers and maxKeys limit the size of a configuration. A configuration of 4 MiB holds about 200,000 keys.
 	maxCustomers = 20000
 	maxKeys      = 250000
-	maxName      = 256
+	maxNameBytes = 256
 	maxRank      = 9
 	maxQuota     = 1e12
 )
 
-// Unit is what a quota counts.
+// Unit is the unit in which a quota is counted.
 type Unit string
 
 // The units of a quota.
@@ -25,25 +26,25 @@
 	UnitTokens   Unit = "tokens"
 )
 
-// Quota bounds what a customer may use over all boxes.
+// Quota limits the usage of a customer over all boxes together.
 type Quota struct {
 	Unit Unit `json:"unit,omitempty"`
-	// PlainTokens is what a request counts that names no tokens, where tokens are counted.
+	// PlainTokens is the cost of a request that gives no token count, if Unit is UnitTokens.
 	PlainTokens float64 `json:"plain_tokens,omitempty"`
-	// Rate is units a second, Burst what may be used beside that at once. Without a rate there is no bound.
+	// Rate is in units per second. Burst is how many units may be used at once beyond the rate. If Rate is zero, usage is not limited.
 	Rate  float64 `json:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Limited reports whether there is a bound.
+// Limited reports whether the quota limits usage.
 func (q Quota) Limited() bool { return q.Rate > 0 }
 
-// Cost returns what a request counts; named says that it names how many tokens it takes.
-func (q Quota) Cost(tokens int, named bool) float64 {
+// Cost returns the cost of a request, in the quota's unit. hasTokenCount is true if the request gives its token count.
+func (q Quota) Cost(tokens int, hasTokenCount bool) float64 {
 	switch {
 	case q.Unit != UnitTokens:
 		return 1
-	case named:
+	case hasTokenCount:
 		return float64(max(0, tokens))
 	default:
 		return q.PlainTokens
@@ -52,75 +53,75 @@
 
 func (q Quota) check() error {
 	if q.Unit != "" && q.Unit != UnitRequests && q.Unit != UnitTokens {
-		return fmt.Errorf("unit %q is not known", q.Unit)
+		return fmt.Errorf("unknown unit %q", q.Unit)
 	}
-	return cmp.Or(inRange("plain_tokens", q.PlainTokens), inRange("rate", q.Rate), inRange("burst", q.Burst))
+	return cmp.Or(checkRange("plain_tokens", q.PlainTokens), checkRange("rate", q.Rate), checkRange("burst", q.Burst))
 }
 
-func inRange(field string, v float64) error {
+func checkRange(field string, v float64) error {
 	if !(v >= 0 && v <= maxQuota) {
-		return fmt.Errorf("%s is %v; it must lie in 0..%v", field, v, maxQuota)
+		return fmt.Errorf("%s is %v; it must be in 0..%v", field, v, maxQuota)
 	}
 	return nil
 }
 
-// Customer is one customer of the routing configuration.
+// Customer is a customer in the routing configuration.
 type Customer struct {
 	Name string `json:"name"`
-	// Keys are the digests of the keys by which its requests are known.
+	// Keys holds the digests of the keys that identify the customer's requests.
 	Keys []Digest `json:"keys,omitempty"`
-	// Priority, if set, is the rank of its requests in place of the route's; 0 goes first.
+	// Priority, if set, replaces the route's rank for the customer's requests. Rank 0 is served first.
 	Priority *int  `json:"priority,omitempty"`
 	Quota    Quota `json:"quota,omitzero"`
 }
 
-// Check returns an error that names the first wrong field of all.
-func Check(all []Customer) error {
-	if len(all) > maxCustomers {
-		return fmt.Errorf("customers has %d entries; at most %d are taken", len(all), maxCustomers)
+// Check returns an error that names the first invalid field of the customers.
+func Check(customers []Customer) error {
+	if len(customers) > maxCustomers {
+		return fmt.Errorf("customers has %d entries; the maximum is %d", len(customers), maxCustomers)
 	}
 	keys := 0
-	for i, c := range all {
+	for i, c := range customers {
 		if err := c.check(); err != nil {
 			return fmt.Errorf("customers[%d] %q: %w", i, c.Name, err)
 		}
 		keys += len(c.Keys)
 	}
 	if keys > maxKeys {
-		return fmt.Errorf("customers have %d keys; at most %d are taken", keys, maxKeys)
+		return fmt.Errorf("customers have %d keys; the maximum is %d", keys, maxKeys)
 	}
 	return nil
 }
 
 func (c Customer) check() error {
-	if c.Name == "" || len(c.Name) > maxName {
-		return fmt.Errorf("name must have 1 to %d bytes", maxName)
+	if c.Name == "" || len(c.Name) > maxNameBytes {
+		return fmt.Errorf("name must have 1 to %d bytes", maxNameBytes)
 	}
 	if c.Priority != nil && (*c.Priority < 0 || *c.Priority > maxRank) {
-		return fmt.Errorf("priority is %d; it must lie in 0..%d", *c.Priority, maxRank)
+		return fmt.Errorf("priority is %d; it must be in 0..%d", *c.Priority, maxRank)
 	}
 	return c.Quota.check()
 }
 
-// Rank returns the rank of the customer's requests on a route that gives them one itself.
-func (c *Customer) Rank(route int) int {
+// Rank returns the rank of the customer's requests on a route whose own rank is routeRank.
+func (c *Customer) Rank(routeRank int) int {
 	if c == nil || c.Priority == nil {
-		return route
+		return routeRank
 	}
 	return *c.Priority
 }
 
-// Table finds customers by key. It is never changed.
+// Table looks up customers by key digest and by name. It is immutable.
 type Table struct {
 	byKey  map[Digest]*Customer
 	byName map[string]*Customer
 }
 
-// NewTable returns the Table of all customers. A key that two of them list is the first one's.
-func NewTable(all []Customer) *Table {
-	t := &Table{byKey: map[Digest]*Customer{}, byName: make(map[string]*Customer, len(all))}
-	for i := range all {
-		c := &all[i]
+// NewTable returns a Table of the customers. A key that two customers list belongs to the first of them.
+func NewTable(customers []Customer) *Table {
+	t := &Table{byKey: map[Digest]*Customer{}, byName: make(map[string]*Customer, len(customers))}
+	for i := range customers {
+		c := &customers[i]
 		if t.byName[c.Name] == nil {
 			t.byName[c.Name] = c
 		}
@@ -133,13 +134,14 @@
 	return t
 }
 
-// ByDigest returns the customer with the key that has a digest. Look-ups go by digest alone, so that their time says nothing of a key.
+// ByDigest returns the customer that has a key with the digest d. Lookups use only the digest, so that their duration reveals nothing about a
+// key.
 func (t *Table) ByDigest(d Digest) (*Customer, bool) {
 	c, ok := t.byKey[d]
 	return c, ok
 }
 
-// ByName returns a customer.
+// ByName returns the customer with the given name.
 func (t *Table) ByName(name string) (*Customer, bool) {
 	c, ok := t.byName[name]
 	return c, ok
--- a/internal/customer/digest.go
+++ b/internal/customer/digest.go
@@ -7,22 +7,22 @@
 	"fmt"
 )
 
-// Digest is the SHA-256 digest of a key or token. Keys themselves are held nowhere: not in the catalog, in messages between boxes or in logs.
+// Digest is the SHA-256 digest of a key or token. Keys themselves are never stored in the catalog, sent between boxes or logged.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Matches reports whether key has this digest, in constant time.
+// Matches reports whether key has the digest d. It compares in constant time.
 func (d Digest) Matches(key string) bool {
 	got := DigestOf(key)
 	return subtle.ConstantTimeCompare(got[:], d[:]) == 1
 }
 
-// IsZero reports whether there is no digest.
+// IsZero reports whether the digest is unset.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// MarshalText implements encoding.TextMarshaler: 64 hex digits, none for the zero digest.
+// MarshalText implements encoding.TextMarshaler. The text has 64 hex digits, or is empty for the zero digest.
 func (d Digest) MarshalText() ([]byte, error) {
 	if d.IsZero() {
 		return nil, nil
@@ -37,10 +37,10 @@
 		return nil
 	}
 	if hex.DecodedLen(len(b)) != len(d) {
-		return fmt.Errorf("customer: a digest must have %d hex digits", hex.EncodedLen(len(d)))
+		return fmt.Errorf("customer: digest must have %d hex digits", hex.EncodedLen(len(d)))
 	}
 	if _, err := hex.Decode(d[:], b); err != nil {
-		return fmt.Errorf("customer: digest: %w", err)
+		return fmt.Errorf("customer: decode digest failed: %w", err)
 	}
 	return nil
 }
--- a/internal/objects/client.go
+++ b/internal/objects/client.go
@@ -16,21 +16,21 @@
 	"github.com/bellgap/bellgap/internal/httpx"
 )
 
-// Limits on one call.
+// Limits of one call.
 const (
 	callTimeout = 5 * time.Second
-	maxAnswer   = 64 << 20
+	maxResponse = 64 << 20
 )
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
 	// Address is the platform's host:port.
 	Address string
-	// HTTP sends the calls; its transport never repeats a write.
+	// HTTP sends the calls. Its transport must never repeat a write.
 	HTTP *http.Client
 }
 
-// Client speaks the object API over HTTP with JSON.
+// Client calls the object API over HTTP with JSON.
 type Client struct {
 	base string
 	http *http.Client
@@ -38,7 +38,7 @@
 
 var _ API = (*Client)(nil)
 
-// NewClient returns a Client.
+// NewClient returns a Client for the platform at cfg.Address.
 func NewClient(cfg ClientConfig) *Client {
 	return &Client{base: "http://" + cfg.Address, http: cfg.HTTP}
 }
@@ -58,7 +58,7 @@
 	return ch, err
 }
 
-// Authoritative says that this is the platform itself.
+// Authoritative returns true: the objects come from the platform itself and not from another box.
 func (c *Client) Authoritative() bool { return true }
 
 // Watch implements API.
@@ -88,45 +88,45 @@
 	return boxes, err
 }
 
-// formatPosition writes a position as JSON does.
+// formatPosition returns a position in its JSON form, a decimal number.
 func formatPosition(p Position) string { return strconv.FormatInt(int64(p), 10) }
 
 func objectPath(kind, name string) string {
 	return "/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-func (c *Client) call(ctx context.Context, method, path string, body []byte, wait time.Duration, into any) error {
+func (c *Client) call(ctx context.Context, method, path string, body []byte, wait time.Duration, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout+wait)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "objects: request")
+		return eris.Wrap(err, "objects: create request failed")
 	}
-	// Without GetBody the transport has nothing to send a second time.
+	// Without GetBody the transport cannot send the body a second time.
 	req.GetBody = nil
-	sent := httpx.TraceSent(req)
-	resp, err := c.http.Do(sent.Request)
+	traced := httpx.TraceSent(req)
+	resp, err := c.http.Do(traced.Request)
 	if err != nil {
-		return Lost(method, sent.Started(), err)
+		return Lost(method, traced.Started(), err)
 	}
 	defer httpx.Drain(resp.Body)
 	if err := StatusError(resp.StatusCode); err != nil {
 		return err
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		return Lost(method, true, err)
 	}
-	if err := json.Unmarshal(b, into); err != nil {
+	if err := json.Unmarshal(b, result); err != nil {
 		return Lost(method, true, err)
 	}
 	return nil
 }
 
-// Lost names the failure: a read that fails is unavailable, a write that was sent has an unknown end.
+// Lost returns the error for a call without a usable response: ErrAnswerLost for a write that was sent, ErrUnavailable for any other call.
 func Lost(method string, sent bool, err error) error {
 	if method != http.MethodGet && sent {
 		return eris.Wrap(ErrAnswerLost, err.Error())
@@ -134,7 +134,7 @@
 	return eris.Wrap(ErrUnavailable, err.Error())
 }
 
-// StatusError returns what an answer's status says, nil for success.
+// StatusError returns the error for a response's HTTP status, or nil if the call succeeded.
 func StatusError(status int) error {
 	switch {
 	case status < http.StatusMultipleChoices:
@@ -146,6 +146,6 @@
 	case status == http.StatusGone:
 		return ErrGone
 	default:
-		return eris.Wrapf(ErrUnavailable, "status %d", status)
+		return eris.Wrapf(ErrUnavailable, "response has status %d", status)
 	}
 }
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -1,4 +1,4 @@
-// Package objects is the client of the platform's object API and box list.
+// Package objects is a client of the platform's object API and box list.
 package objects
 
 import (
@@ -9,31 +9,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxValue is the largest value of an object, in bytes.
+// MaxValue is the maximum size of an object's value, in bytes.
 const MaxValue = 1 << 20
 
-// Errors that callers tell apart.
+// Errors that callers distinguish.
 var (
-	// ErrConflict says that the object's version is not the expected one; the write took no effect.
+	// ErrConflict means that the object's version differs from the expected version. The write took no effect.
 	ErrConflict = eris.New("objects: version conflict")
-	// ErrNotFound says that there is no such object.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = eris.New("objects: not found")
-	// ErrGone says that the changes asked for are no longer kept; list instead.
-	ErrGone = eris.New("objects: changes no longer kept")
-	// ErrUnavailable says that the platform refused or could not be reached; a write took no effect.
-	ErrUnavailable = eris.New("objects: unavailable")
-	// ErrAnswerLost says that a write may or may not have taken effect.
-	ErrAnswerLost = eris.New("objects: answer lost")
+	// ErrGone means that the requested changes are no longer kept. The caller must list the objects instead.
+	ErrGone = eris.New("objects: requested changes are no longer kept")
+	// ErrUnavailable means that the platform refused the call or could not be reached. A write took no effect.
+	ErrUnavailable = eris.New("objects: platform unavailable")
+	// ErrAnswerLost means that a write was sent without a usable response. The write may or may not have taken effect.
+	ErrAnswerLost = eris.New("objects: no usable response, write may have taken effect")
 )
 
-// Object is one stored object.
+// Object is an object in the platform's store.
 type Object struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 	// Version is the position of the object's last write.
 	Version Position        `json:"version"`
 	Value   json.RawMessage `json:"value,omitempty"`
-	// Deleted marks a deletion in a list of changes.
+	// Deleted is set if the object was deleted. Only lists of changes contain deletions.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -42,55 +42,58 @@
 	Objects []Object `json:"objects"`
 	// Revision is the position up to which Objects is complete.
 	Revision Position `json:"revision"`
-	// Next asks List for the next page; empty on the last one. Only the first page's Revision holds for the whole list.
+	// Next is the argument of List for the next page. It is empty on the last page. Only the Revision of the first page is valid for the
+	// whole list.
 	Next string `json:"next,omitempty"`
 }
 
-// KindChanges is what changed of one kind, as one box tells another.
+// KindChanges holds the changes of one kind. Boxes send it to each other.
 type KindChanges struct {
 	Kind string `json:"kind"`
-	// Revision is that up to which the sender knows the kind.
+	// Revision is the position up to which the sender has all changes of the kind.
 	Revision Position `json:"revision"`
-	// Full says that Objects are all there are of the kind.
+	// Full is set if Objects contains all objects of the kind.
 	Full    bool     `json:"full,omitempty"`
 	Objects []Object `json:"objects,omitempty"`
-	// Ask says instead that the kind has changed by more than is passed on: the receiver is to ask the store for this kind.
+	// Ask is set, without Objects, if the changes of the kind are too large to be relayed. The receiver must request them from the store.
 	Ask bool `json:"ask,omitempty"`
 }
 
-// Confirmation says how old a box's word on a whole kind is, as one box tells another.
+// Confirmation holds the age of a box's data of one kind. Boxes send it to each other.
 type Confirmation struct {
-	// Revision is that up to which the sender knows the kind.
+	// Revision is the position up to which the sender has all changes of the kind.
 	Revision Position `json:"revision"`
-	// Age is the time since all that the store had acknowledged of the kind was known at Revision, when the message was made. It is counted
-	// from before the question, so it may be too great and is never too small.
+	// Age is how long ago, when the message was made, the data at Revision included everything that the store had acknowledged of the kind.
+	// It is measured from before the request to the store, so it may be too high but never too low.
 	Age time.Duration `json:"age"`
 }
 
 // BoxState is the state of a box in the box list.
 type BoxState string
 
-// The states of the box list.
+// The states of a box in the box list.
 const (
 	BoxLive    BoxState = "live"
 	BoxLeaving BoxState = "leaving"
 )
 
-// Box is an entry of the platform's box list; the list lags.
+// Box is an entry of the platform's box list. The list may be out of date.
 type Box struct {
 	Name  string   `json:"name"`
 	State BoxState `json:"state"`
 }
 
-// API is what bellgap uses of the platform. Client implements it.
+// API is the part of the platform's API that bellgap uses. Client implements it.
 type API interface {
-	// Get returns one object, or ErrNotFound with an object whose Version names the era that lacks it.
+	// Get returns an object. If the object does not exist, Get returns ErrNotFound and an object whose Version holds the store's era.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// List returns a page of the objects of the kinds, the first one after "".
+	// List returns a page of the objects of the kinds. For the first page, after is empty; for other pages, it is Next of the page before.
 	List(ctx context.Context, kinds []string, after string) (Changes, error)
-	// Watch waits up to wait for changes of the kinds after from, and returns them or none; ErrGone asks for a List, also where from is of an earlier era.
+	// Watch waits up to wait for changes of the kinds after from and returns them, or no changes if there were none. It returns ErrGone if the
+	// caller must call List, for example because from is of an earlier era.
 	Watch(ctx context.Context, kinds []string, from Position, wait time.Duration) (Changes, error)
-	// Put writes the value if the object's version is expect (without a revision: it does not exist) and returns the new version.
+	// Put writes the value if the object's version is expect, and returns the new version. If expect has no revision, the object must not
+	// exist.
 	Put(ctx context.Context, kind, name string, expect Position, value json.RawMessage) (Position, error)
 	// Delete removes the object if its version is expect.
 	Delete(ctx context.Context, kind, name string, expect Position) error
--- a/internal/objects/position.go
+++ b/internal/objects/position.go
@@ -8,27 +8,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// eraShift is where the era begins in a Position: an era has room for 2^40 revisions, and JSON numbers are exact for 8,191 eras.
+// eraShift is the lowest bit of the era in a Position. An era has room for 2^40 revisions, and JSON numbers are exact up to 8,191 eras.
 const eraShift = 40
 
-// Position is a place in the store's history: an era and a revision within it. The store begins a new era when it has come back from an older copy, and
-// gives out revisions of before again then. Positions are ordered as they happened, so that <, > and max compare them; the zero Position is before all
-// others. Only the store's clients know the bare revisions.
+// Position is a place in the store's history: an era and a revision within that era. The store begins a new era when it is restored from an
+// older copy, and then reuses revisions of earlier eras. Positions are in the order of the history, so <, > and max compare them. The zero
+// Position is before all others. Only clients of the store use revisions without an era.
 type Position int64
 
 // At returns the position of a revision in an era.
 func At(era, revision int64) Position { return Position(era<<eraShift | revision) }
 
-// Era returns the era, zero for a store that names none.
+// Era returns the era. It is zero for a store that reports no eras.
 func (p Position) Era() int64 { return int64(p) >> eraShift }
 
 // Revision returns the revision within the era.
 func (p Position) Revision() int64 { return int64(p) & (1<<eraShift - 1) }
 
-// Exists reports whether the position is that of a change; one without a revision stands for an object that an era does not have.
+// Exists reports whether the position is the position of a change. A position without a revision stands for an object that does not exist
+// in the era.
 func (p Position) Exists() bool { return p.Revision() != 0 }
 
-// String returns the era, if there is one, and the revision.
+// String returns the position as "era/revision", or as the revision alone if the era is zero.
 func (p Position) String() string {
 	if p.Era() == 0 {
 		return strconv.FormatInt(p.Revision(), 10)
@@ -36,19 +37,19 @@
 	return fmt.Sprintf("%d/%d", p.Era(), p.Revision())
 }
 
-// ParsePosition reads what String writes.
+// ParsePosition parses the text form that String returns.
 func ParsePosition(text string) (Position, error) {
-	before, after, found := strings.Cut(text, "/")
+	eraText, revisionText, found := strings.Cut(text, "/")
 	if !found {
-		before, after = "0", text
+		eraText, revisionText = "0", text
 	}
-	era, err := strconv.ParseUint(before, 10, 63-eraShift)
+	era, err := strconv.ParseUint(eraText, 10, 63-eraShift)
 	if err != nil {
-		return 0, eris.Wrapf(err, "objects: position %q", text)
+		return 0, eris.Wrapf(err, "objects: invalid position %q", text)
 	}
-	revision, err := strconv.ParseUint(after, 10, eraShift)
+	revision, err := strconv.ParseUint(revisionText, 10, eraShift)
 	if err != nil {
-		return 0, eris.Wrapf(err, "objects: position %q", text)
+		return 0, eris.Wrapf(err, "objects: invalid position %q", text)
 	}
 	return At(int64(era), int64(revision)), nil
 }
--- a/internal/objects/position_test.go
+++ b/internal/objects/position_test.go
@@ -10,7 +10,7 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// TestPositionsAreOrdered guards against a revision that is compared across eras.
+// TestPositionsAreOrdered checks that positions of different eras are ordered by era first and by revision second.
 func TestPositionsAreOrdered(t *testing.T) {
 	c := qt.New(t)
 	all := []objects.Position{0, objects.At(0, 1), objects.At(0, 9000), objects.At(1, 0), objects.At(1, 1), objects.At(1, 2), objects.At(2, 1), objects.At(8191, 3)}
@@ -20,16 +20,16 @@
 	c.Check(objects.At(3, 1).Exists(), qt.IsTrue)
 }
 
-// TestPositionsAreReadBack guards against a position that an operator copies and that names another one.
-func TestPositionsAreReadBack(t *testing.T) {
+// TestPositionTextRoundTrip guards against a position that an operator copies as text and that is parsed as a different position.
+func TestPositionTextRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		era, revision := rapid.Int64Range(0, 1<<20).Draw(t, "era"), rapid.Int64Range(0, 1<<39).Draw(t, "revision")
 		p := objects.At(era, revision)
 		if p.Era() != era || p.Revision() != revision {
-			t.Fatalf("%d/%d became %s", era, revision, p)
+			t.Fatalf("At(%d, %d) returned position %s", era, revision, p)
 		}
 		if q, err := objects.ParsePosition(p.String()); err != nil || q != p {
-			t.Fatalf("%s read as %s: %v", p, q, err)
+			t.Fatalf("position %s was parsed as %s, error %v", p, q, err)
 		}
 	})
 	for _, text := range []string{"", "/", "1/", "/1", "-1", "1/-1", "a", "1/2/3", "1/99999999999999"} {
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -1,23 +1,23 @@
-// Package turn tells those who were refused when to come back, one behind the other.
+// Package turn assigns retry delays to refused callers, so that they retry one after another.
 package turn
 
 import "time"
 
-// Turns hands out times to come back. Its zero value has handed out none.
+// Turns assigns retry times to callers. The zero value has assigned none.
 type Turns struct {
 	next time.Time
 }
 
-// Take returns how long one more caller is to wait who takes up a time of its own: behind those who were told before, so that not all come at the
-// same moment for what is there for one of them. No one is told more than most.
-func (t *Turns) Take(now time.Time, own, most time.Duration) time.Duration {
+// Take returns how long the next caller must wait before its retry. Successive callers get retry times that are interval apart, because
+// otherwise all callers would retry at the same moment although there is capacity for only one of them. No delay exceeds maxDelay.
+func (t *Turns) Take(now time.Time, interval, maxDelay time.Duration) time.Duration {
 	if t.next.Before(now) {
 		t.next = now
 	}
-	behind := t.next.Sub(now)
-	t.next = t.next.Add(own)
-	if latest := now.Add(most); t.next.After(latest) {
+	delay := t.next.Sub(now)
+	t.next = t.next.Add(interval)
+	if latest := now.Add(maxDelay); t.next.After(latest) {
 		t.next = latest
 	}
-	return min(behind, most)
+	return min(delay, maxDelay)
 }
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -16,5 +16,6 @@
 	for _, want := range []time.Duration{0, 10, 20, 30, 35, 35} {
 		c.Check(turns.Take(now, 10*time.Millisecond, 35*time.Millisecond), qt.Equals, want*time.Millisecond)
 	}
-	c.Check(turns.Take(now.Add(time.Second), 10*time.Millisecond, 35*time.Millisecond), qt.Equals, time.Duration(0), qt.Commentf("the times told are over"))
+	c.Check(turns.Take(now.Add(time.Second), 10*time.Millisecond, 35*time.Millisecond), qt.Equals, time.Duration(0),
+		qt.Commentf("all assigned retry times have passed"))
 }
