--- a/internal/grant/alive.go
+++ b/internal/grant/alive.go
@@ -11,25 +11,27 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// AcquireAlive waits for an owner's grant on behalf of another box and meanwhile shows it, by informational responses, that this
-// box is alive.
-func AcquireAlive(ctx context.Context, w http.ResponseWriter, runner *owner.Runner, q owner.Request, every time.Duration) (*owner.Grant, *result.Error) {
+// AcquireAlive waits for a grant on behalf of another box. While it waits, it sends an informational response to that box once
+// per interval, to show that this box is alive.
+func AcquireAlive(
+	ctx context.Context, w http.ResponseWriter, runner *owner.Runner, q owner.Request, interval time.Duration,
+) (*owner.Grant, *result.Error) {
 	var g *owner.Grant
 	var err error
-	got := make(chan struct{})
-	var wait errgroup.Group
-	wait.Go(func() error {
-		defer close(got)
+	acquired := make(chan struct{})
+	var group errgroup.Group
+	group.Go(func() error {
+		defer close(acquired)
 		g, err = runner.Acquire(ctx, q)
 		return nil
 	})
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 			w.WriteHeader(http.StatusProcessing)
-		case <-got:
+		case <-acquired:
 			if err != nil {
 				return nil, result.From(err, result.QueueFull)
 			}
--- a/internal/grant/client.go
+++ b/internal/grant/client.go
@@ -24,57 +24,60 @@
 )
 
 const (
-	// aliveWithin is how long an owner may be silent. A round trip between zones takes 2 to 3 ms, so a box that says nothing
-	// for this long is busy beyond use, frozen, cut off or gone.
-	aliveWithin = 180 * time.Millisecond
-	// newsRing bounds the news that wait to be told; an owner that misses an end lets the grant expire.
-	newsRing = 4096
-	// newsEvery gathers the news for one owner into one call.
-	newsEvery = 25 * time.Millisecond
-	// newsTimeout bounds a call that tells news.
-	newsTimeout = time.Second
-	// maxAnswer bounds an answer.
-	maxAnswer = 64 << 10
+	// keepaliveTimeout is the longest time without a response or keepalive from an owner. A round trip between zones takes 2 to 3
+	// ms, so a box that sends nothing for this long is overloaded, frozen, disconnected, or gone.
+	keepaliveTimeout = 180 * time.Millisecond
+	// updateBufferSize limits the number of updates that wait to be sent. If the end of a grant is lost, the grant expires at the
+	// owner.
+	updateBufferSize = 4096
+	// updateInterval is the time over which updates are collected into one call per owner.
+	updateInterval = 25 * time.Millisecond
+	// updateTimeout limits the duration of a call that sends updates.
+	updateTimeout = time.Second
+	// maxAnswerBytes limits the size of the response to an Ask.
+	maxAnswerBytes = 64 << 10
 )
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
 	HTTP *http.Client
-	// Rates is what this box knows of the engines' rates.
+	// Rates holds the rate limits of engines that are known to this box.
 	Rates *ratelimit.Book
 	Scope tally.Scope
 }
 
-// Client asks owners on other boxes. Its Serve has to run, to tell them how requests go and ended.
+// Client requests grants from owners on other boxes. Serve must run while the Client is in use, to send the progress of granted
+// requests to the owners.
 type Client struct {
-	cfg  ClientConfig
-	news *gather.Gatherer[netip.AddrPort, news]
+	cfg     ClientConfig
+	updates *gather.Gatherer[netip.AddrPort, grantUpdate]
 }
 
-// news is what the owner at an address is to hear of a grant: its end or, if read, that the first token has come. With rate it is what an engine
-// said of its rate.
-type news struct {
-	address netip.AddrPort
-	end     end
-	read    bool
-	rate    *engineRate
+// grantUpdate is a message for the owner at an address. If rate is set, the message contains the rate limit of an engine. If
+// firstToken is set, it reports that the first token of a granted request has arrived. Otherwise it reports the end of a granted
+// request.
+type grantUpdate struct {
+	address    netip.AddrPort
+	end        grantEnd
+	firstToken bool
+	rate       *engineRate
 }
 
-// NewClient returns a Client.
+// NewClient returns a Client, which sends no updates until Serve runs.
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg}
-	c.news = gather.New(gather.Config[netip.AddrPort, news]{
-		Ring: newsRing, Every: newsEvery, Send: c.send,
+	c.updates = gather.New(gather.Config[netip.AddrPort, grantUpdate]{
+		Ring: updateBufferSize, Every: updateInterval, Send: c.sendUpdates,
 		Dropped: func() { cfg.Scope.Counter("grant_news_dropped").Inc(1) },
 	})
 	return c
 }
 
-// Done is closed when Serve has ended.
-func (c *Client) Done() <-chan struct{} { return c.news.Done() }
+// Done returns a channel that is closed when Serve has returned.
+func (c *Client) Done() <-chan struct{} { return c.updates.Done() }
 
-// Acquire waits for a grant of the owner at address. The error is a *result.Error; the request has not run.
-// OwnerSilent as its code says that the owner did not answer.
+// Acquire waits for a grant from the owner at address. If it fails, the request has not run and the error is a *result.Error.
+// The code OwnerSilent means that the owner did not send a valid response.
 func (c *Client) Acquire(ctx context.Context, address netip.AddrPort, a Ask) (*Grant, error) {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -82,10 +85,10 @@
 	}
 	callCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch := time.AfterFunc(aliveWithin, cancel)
-	defer watch.Stop()
+	silenceTimer := time.AfterFunc(keepaliveTimeout, cancel)
+	defer silenceTimer.Stop()
 	trace := &httptrace.ClientTrace{Got1xxResponse: func(int, textproto.MIMEHeader) error {
-		watch.Reset(aliveWithin)
+		silenceTimer.Reset(keepaliveTimeout)
 		return nil
 	}}
 	req, err := http.NewRequestWithContext(
@@ -106,30 +109,31 @@
 	if w := ToldRate(resp.Header); w != nil {
 		c.cfg.Rates.Heard(clock.Now(), a.Engine, *w)
 	}
-	return c.read(resp, address)
+	return c.readAnswer(resp, address)
 }
 
-// ToldRate returns what an owner told of its engine's rate, nil if that is nothing.
+// ToldRate returns the engine's rate limit from the response header of its owner, or nil if the header is missing or invalid.
 func ToldRate(h http.Header) *ratelimit.Word {
-	text := h.Get(headerRate)
-	if text == "" {
+	encoded := h.Get(headerRate)
+	if encoded == "" {
 		return nil
 	}
 	w := &ratelimit.Word{}
-	if err := json.Unmarshal([]byte(text), w); err != nil {
-		klog.ErrorS(err, "rate told by an owner not understood")
+	if err := json.Unmarshal([]byte(encoded), w); err != nil {
+		klog.ErrorS(err, "invalid rate limit in the response of an engine owner; ignored")
 		return nil
 	}
 	return w
 }
 
-// TellRate tells the owner at address what its engine said of its rate.
+// TellRate queues the rate limit that an engine reported, to be sent to its owner at address.
 func (c *Client) TellRate(address netip.AddrPort, engine string, w ratelimit.Word) {
-	c.tell(news{address: address, rate: &engineRate{engine, w}})
+	c.queueUpdate(grantUpdate{address: address, rate: &engineRate{engine, w}})
 }
 
-func (c *Client) read(resp *http.Response, address netip.AddrPort) (*Grant, error) {
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+// readAnswer converts the owner's response to a grant or an error.
+func (c *Client) readAnswer(resp *http.Response, address netip.AddrPort) (*Grant, error) {
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return nil, result.New(result.OwnerSilent, "%v", err)
 	}
@@ -139,61 +143,62 @@
 		}
 		return nil, result.New(result.OwnerSilent, "status %d", resp.StatusCode)
 	}
-	var g given
-	if err := json.Unmarshal(b, &g); err != nil {
+	var answer acquireAnswer
+	if err := json.Unmarshal(b, &answer); err != nil {
 		return nil, result.New(result.OwnerSilent, "%v", err)
 	}
 	return &Grant{
-		Stalled: g.Stalled,
-		Read:    func() { c.tell(news{address: address, end: end{ID: g.ID}, read: true}) },
-		End:     func(e owner.End) { c.tell(news{address: address, end: end{g.ID, e}}) },
+		Stalled: answer.Stalled,
+		Read:    func() { c.queueUpdate(grantUpdate{address: address, end: grantEnd{ID: answer.ID}, firstToken: true}) },
+		End:     func(e owner.End) { c.queueUpdate(grantUpdate{address: address, end: grantEnd{answer.ID, e}}) },
 	}, nil
 }
 
-// tell queues news of a granted request.
-func (c *Client) tell(n news) { c.news.Add(n.address, n) }
+// queueUpdate adds an update to the messages that Serve sends.
+func (c *Client) queueUpdate(u grantUpdate) { c.updates.Add(u.address, u) }
 
-// Serve tells owners how requests go and ended, until ctx ends.
-func (c *Client) Serve(ctx context.Context) error { return c.news.Serve(ctx) }
+// Serve sends the updates to the owners until ctx is done.
+func (c *Client) Serve(ctx context.Context) error { return c.updates.Serve(ctx) }
 
-// messageOf puts the news for one owner into one message.
-func messageOf(all []news) ended {
-	var msg ended
-	for _, n := range all {
+// mergeUpdates combines the updates for one owner into one message.
+func mergeUpdates(updates []grantUpdate) updateMessage {
+	var msg updateMessage
+	for _, u := range updates {
 		switch {
-		case n.rate != nil:
-			msg.Rates = append(msg.Rates, *n.rate)
-		case n.read:
-			msg.Read = append(msg.Read, n.end.ID)
+		case u.rate != nil:
+			msg.Rates = append(msg.Rates, *u.rate)
+		case u.firstToken:
+			msg.FirstTokens = append(msg.FirstTokens, u.end.ID)
 		default:
-			msg.Ends = append(msg.Ends, n.end)
+			msg.Ends = append(msg.Ends, u.end)
 		}
 	}
 	return msg
 }
 
-func (c *Client) send(ctx context.Context, address netip.AddrPort, all []news) {
-	msg := messageOf(all)
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), newsTimeout)
+// sendUpdates sends updates to the owner at address. If the call fails, it counts and logs the ends that were lost.
+func (c *Client) sendUpdates(ctx context.Context, address netip.AddrPort, updates []grantUpdate) {
+	msg := mergeUpdates(updates)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), updateTimeout)
 	defer cancel()
-	if err := c.post(ctx, address, msg); err != nil {
+	if err := c.postUpdates(ctx, address, msg); err != nil {
 		c.cfg.Scope.Counter("grant_ends_lost").Inc(int64(len(msg.Ends)))
-		klog.V(1).InfoS("ends of grants not told; they expire", "owner", address, "ends", len(msg.Ends), "err", err)
+		klog.V(1).InfoS("grant ends not delivered; the grants will expire", "owner", address, "ends", len(msg.Ends), "err", err)
 	}
 }
 
-func (c *Client) post(ctx context.Context, address netip.AddrPort, msg ended) error {
+func (c *Client) postUpdates(ctx context.Context, address netip.AddrPort, msg updateMessage) error {
 	body, err := json.Marshal(msg)
 	if err != nil {
-		return eris.Wrap(err, "grant: encode")
+		return eris.Wrap(err, "grant: encoding updates failed")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+pathEnd, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "grant: request")
+		return eris.Wrap(err, "grant: creating update request failed")
 	}
 	resp, err := c.cfg.HTTP.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "grant: call")
+		return eris.Wrap(err, "grant: sending updates failed")
 	}
 	httpx.Drain(resp.Body)
 	return nil
--- a/internal/grant/client_test.go
+++ b/internal/grant/client_test.go
@@ -24,7 +24,7 @@
 	return grant.NewClient(grant.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(2)}, Scope: tally.NoopScope})
 }
 
-func start(c *qt.C, h http.Handler) netip.AddrPort {
+func startServer(c *qt.C, h http.Handler) netip.AddrPort {
 	s := httptest.NewServer(h)
 	c.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
@@ -38,7 +38,7 @@
 		want   result.Code
 	}{
 		{"granted at once", func(w http.ResponseWriter, _ *http.Request) { granted(w) }, result.OK},
-		{"granted after a wait with signs of life", func(w http.ResponseWriter, _ *http.Request) {
+		{"granted after a wait with keepalives", func(w http.ResponseWriter, _ *http.Request) {
 			for range 10 {
 				w.WriteHeader(http.StatusProcessing)
 				time.Sleep(40 * time.Millisecond)
@@ -47,12 +47,12 @@
 		}, result.OK},
 		{"refused", func(w http.ResponseWriter, _ *http.Request) { result.New(result.TryNext, "").Write(w, "") }, result.TryNext},
 		{"silent", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, result.OwnerSilent},
-		{"an answer that is no grant", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("?")) }, result.OwnerSilent},
-		{"another service", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, result.OwnerSilent},
+		{"answer is not valid JSON", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("?")) }, result.OwnerSilent},
+		{"not found on the other box", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusNotFound) }, result.OwnerSilent},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			address := start(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			address := startServer(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				var a grant.Ask
 				c.Check(json.NewDecoder(r.Body).Decode(&a), qt.IsNil)
 				c.Check(a.Engine, qt.Equals, "e-1")
@@ -69,16 +69,16 @@
 	}
 }
 
-// TestEndsAreToldTogether ends some grants of one owner; it hears of all of them.
-func TestEndsAreToldTogether(t *testing.T) {
+// TestEndsAreSentTogether ends five grants from one owner. The owner must receive all ends, which the client may combine in messages.
+func TestEndsAreSentTogether(t *testing.T) {
 	c := qt.New(t)
-	type told struct {
+	type endMessage struct {
 		Ends []struct {
 			ID  uint64    `json:"id"`
 			End owner.End `json:"end"`
 		} `json:"ends"`
 	}
-	heard := make(chan told, 16)
+	received := make(chan endMessage, 16)
 	next := 0
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /peer/acquire", func(w http.ResponseWriter, _ *http.Request) {
@@ -86,12 +86,12 @@
 		httpx.WriteJSON(w, http.StatusOK, map[string]any{"id": next})
 	})
 	mux.HandleFunc("POST /peer/end", func(w http.ResponseWriter, r *http.Request) {
-		var m told
+		var m endMessage
 		c.Check(json.NewDecoder(r.Body).Decode(&m), qt.IsNil)
-		heard <- m
+		received <- m
 		w.WriteHeader(http.StatusNoContent)
 	})
-	address := start(c, mux)
+	address := startServer(c, mux)
 	client := newClient()
 	ctx, cancel := context.WithCancel(c.Context())
 	var group errgroup.Group
@@ -103,7 +103,7 @@
 	}
 	got := map[uint64]owner.End{}
 	for len(got) < 5 {
-		for _, e := range (<-heard).Ends {
+		for _, e := range (<-received).Ends {
 			got[e.ID] = e.End
 		}
 	}
@@ -112,12 +112,13 @@
 	c.Check(group.Wait(), qt.ErrorIs, context.Canceled)
 }
 
-// TestServerWithoutTheEngine refuses what it does not own, and what it cannot read.
-func TestServerWithoutTheEngine(t *testing.T) {
+// TestServerRejectsUnownedEngine sends a request for an engine that the box doesn't own, and a message that is not valid JSON.
+// The server must reject both.
+func TestServerRejectsUnownedEngine(t *testing.T) {
 	c := qt.New(t)
 	mux := http.NewServeMux()
 	grant.NewServer(grant.ServerConfig{Owners: owner.NewSet(owner.SetConfig{})}).Register(mux)
-	address := start(c, mux)
+	address := startServer(c, mux)
 	_, err := newClient().Acquire(c.Context(), address, grant.Ask{Engine: "e-1"})
 	c.Check(result.Is(err, result.NotOwner), qt.IsTrue, qt.Commentf("%v", err))
 	resp, err := http.Post("http://"+address.String()+"/peer/acquire", "application/json", strings.NewReader("{"))
--- a/internal/grant/message.go
+++ b/internal/grant/message.go
@@ -1,5 +1,5 @@
-// Package grant asks the owner of an engine, on whichever box it is, for leave to send one request there.
-// The request itself never passes through the owner: until a grant has arrived it provably has not run.
+// Package grant requests permission from the owner of an engine, which may run on another box, to send one request to the engine.
+// The request itself does not pass through the owner, so it cannot have run before the grant has arrived.
 package grant
 
 import (
@@ -11,41 +11,41 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Paths of the protocol.
+// HTTP paths of the protocol between boxes.
 const (
 	pathAcquire = "/peer/acquire"
 	pathEnd     = "/peer/end"
 )
 
-// Ask is what the owner needs to know of a request.
+// Ask is the message by which a box requests a grant. It describes the request that is to run on the engine.
 type Ask struct {
 	Engine  string `json:"engine"`
 	Ref     string `json:"ref,omitempty"`
 	Weights string `json:"weights,omitempty"`
 	Urgency int    `json:"urgency"`
-	// StartIn is the time until the latest useful start.
+	// StartIn is the time until the latest start at which the response is still useful.
 	StartIn time.Duration `json:"start_in"`
-	// Accept is the longest expected wait with which the owner takes the request in; zero accepts any.
+	// Accept is the longest expected wait with which the owner may queue the request. Zero means no limit.
 	Accept time.Duration `json:"accept,omitempty"`
-	// Near asks the owner to take the request in only if the adapter needs not be brought from the weight store.
+	// Near is true if the owner may queue the request only if the adapter does not have to be fetched from the weight store.
 	Near bool `json:"near,omitempty"`
-	// Pressed says that none of the engines asked before can start the request in time.
+	// Pressed is true if no engine that was tried before can start the request in time.
 	Pressed bool `json:"pressed,omitempty"`
-	// Hold is how long the grant may be held; after that the owner counts it as ended.
+	// Hold is the longest time that the grant is valid. The owner then treats the request as ended.
 	Hold time.Duration `json:"hold"`
-	// Last says that no other engine will be tried after this one.
+	// Last is true if no other engine will be tried after this one.
 	Last   bool `json:"last,omitempty"`
 	Prompt int  `json:"prompt,omitempty"`
 	Output int  `json:"output,omitempty"`
-	// Parts are those of the prompt that other requests may share, in order.
+	// Parts are the parts of the prompt that other requests may share, in order.
 	Parts []owner.Part `json:"parts,omitempty"`
-	// Customer is whose request it is.
+	// Customer owns the request.
 	Customer string `json:"customer,omitempty"`
-	// Rate is what the asker knows of the requests a second that the engine takes.
+	// Rate is the engine's limit of requests per second that the requesting box knows.
 	Rate *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// Request returns the owner's form of an ask.
+// Request converts the message to a request for the owner. It fails if Ref is invalid.
 func (a *Ask) Request(now time.Time) (owner.Request, *result.Error) {
 	q := owner.Request{
 		Weights: a.Weights, Urgency: a.Urgency, StartBy: now.Add(a.StartIn), Last: a.Last,
@@ -63,38 +63,43 @@
 	return q, nil
 }
 
-// given answers an Ask that was granted.
-type given struct {
+// acquireAnswer is the response to an Ask that was granted.
+type acquireAnswer struct {
 	ID      uint64        `json:"id"`
 	Stalled time.Duration `json:"stalled,omitempty"`
 }
 
-// ended tells how granted requests ended, and whose first tokens have come.
-type ended struct {
-	Ends []end    `json:"ends"`
-	Read []uint64 `json:"read,omitempty"`
-	// Rates are what engines said in their answers of the requests a second that they take.
+// updateMessage reports to an owner the progress of granted requests and the rate limits of engines.
+type updateMessage struct {
+	Ends []grantEnd `json:"ends"`
+	// FirstTokens are the IDs of the grants whose requests have produced their first token.
+	FirstTokens []uint64 `json:"read,omitempty"`
+	// Rates are the limits of requests per second that engines sent with their responses.
 	Rates []engineRate `json:"rates,omitempty"`
 }
 
+// engineRate is the rate limit of one engine.
 type engineRate struct {
 	Engine string         `json:"engine"`
 	Rate   ratelimit.Word `json:"rate"`
 }
 
-// headerRate carries what an owner knows of its engine's rate, as JSON, with whatever it answers.
+// headerRate is the response header that contains the latest known rate limit of the owner's engine as JSON. It is set on grants
+// and refusals.
 const headerRate = "Bellgap-Engine-Rate"
 
-type end struct {
+// grantEnd reports how the request with the grant ID ended.
+type grantEnd struct {
 	ID  uint64    `json:"id"`
 	End owner.End `json:"end"`
 }
 
-// Grant lets one request run on an engine until End is called. Call it once.
+// Grant permits one request on an engine until End is called. End must be called exactly once.
 type Grant struct {
-	// Stalled is how long the request waited for its adapter.
+	// Stalled is the time that the request waited for its adapter.
 	Stalled time.Duration
-	// Read tells the owner that the first token of the answer has come.
+	// Read reports to the owner that the first token of the response has arrived.
 	Read func()
-	End  func(owner.End)
+	// End reports to the owner how the request ended.
+	End func(owner.End)
 }
--- a/internal/grant/process_test.go
+++ b/internal/grant/process_test.go
@@ -9,19 +9,20 @@
 	"github.com/bellgap/bellgap/internal/owner"
 )
 
-// TestEndOfAFormerProcessEndsNothing: an asker tells the end of a grant to the address of the box that gave it, where another process
-// may answer by now. With grants numbered from one in each process it ended whichever request had the same number there.
-func TestEndOfAFormerProcessEndsNothing(t *testing.T) {
+// TestEndFromPreviousProcessIsIgnored guards against an end message that releases the grant of another request. The message is
+// sent to the address of the box that granted the request, where a new process may run by now. When each process numbered its
+// grants from one, the message released the new process's grant with the same number.
+func TestEndFromPreviousProcessIsIgnored(t *testing.T) {
 	c := qt.New(t)
-	former, next := NewServer(ServerConfig{}), NewServer(ServerConfig{})
+	previous, current := NewServer(ServerConfig{}), NewServer(ServerConfig{})
 	const grants = 100
 	var ids []uint64
 	for range grants {
-		ids = append(ids, former.hold(&owner.Grant{}, time.Minute))
-		next.hold(&owner.Grant{}, time.Minute)
+		ids = append(ids, previous.hold(&owner.Grant{}, time.Minute))
+		current.hold(&owner.Grant{}, time.Minute)
 	}
 	for _, id := range ids {
-		next.release(id, owner.EndWhole)
+		current.release(id, owner.EndWhole)
 	}
-	c.Check(next.held, qt.HasLen, grants)
+	c.Check(current.held, qt.HasLen, grants)
 }
--- a/internal/grant/server.go
+++ b/internal/grant/server.go
@@ -17,42 +17,43 @@
 )
 
 const (
-	// aliveEvery is how often a waiting asker hears that the owner lives: a third of what it waits for, see aliveWithin.
-	aliveEvery = 60 * time.Millisecond
-	// maxAsk bounds a message.
-	maxAsk = 64 << 10
-	// maxHold bounds how long a grant may be held.
+	// keepaliveInterval is the time between two keepalive responses to a box that waits for a grant. It is a third of
+	// keepaliveTimeout, after which that box gives up.
+	keepaliveInterval = 60 * time.Millisecond
+	// maxMessageBytes limits the size of a received message.
+	maxMessageBytes = 64 << 10
+	// maxHold is the longest time until a grant expires.
 	maxHold = 15 * time.Minute
 )
 
-// ServerConfig configures a Server.
+// ServerConfig holds the dependencies of a Server.
 type ServerConfig struct {
 	Owners *owner.Set
-	// Rates is what this box knows of the engines' rates.
+	// Rates holds the rate limits of engines that are known to this box.
 	Rates *ratelimit.Book
 }
 
-// Server grants the engines of this box to other boxes.
+// Server handles the requests of other boxes for grants on the engines that this box owns.
 type Server struct {
 	cfg    ServerConfig
 	mu     sync.Mutex
 	nextID uint64
-	held   map[uint64]*held
+	held   map[uint64]*heldGrant
 }
 
-// held is a grant that another box has not ended yet.
-type held struct {
+// heldGrant is a grant to another box that has not ended or expired yet.
+type heldGrant struct {
 	grant  *owner.Grant
 	expiry *time.Timer
 }
 
-// NewServer returns a Server. Its grants are numbered from anywhere: the end of a grant that a former process of this box gave may still
-// come, to the same address, and must not end a grant of this one.
+// NewServer returns a Server. Its grant IDs start at a random number: the end message for a grant from a previous process of this
+// box may still arrive at the same address, and must not release a grant from this process.
 func NewServer(cfg ServerConfig) *Server {
-	return &Server{cfg: cfg, nextID: rand.Uint64(), held: map[uint64]*held{}}
+	return &Server{cfg: cfg, nextID: rand.Uint64(), held: map[uint64]*heldGrant{}}
 }
 
-// Register adds the paths to mux.
+// Register adds the HTTP handlers to mux.
 func (s *Server) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+pathAcquire, s.handleAcquire)
 	mux.HandleFunc("POST "+pathEnd, s.handleEnd)
@@ -60,7 +61,7 @@
 
 func (s *Server) handleAcquire(w http.ResponseWriter, r *http.Request) {
 	var ask Ask
-	if !result.ReadJSON(w, r, maxAsk, &ask) {
+	if !result.ReadJSON(w, r, maxMessageBytes, &ask) {
 		return
 	}
 	runner, ok := s.cfg.Owners.Get(ask.Engine)
@@ -73,7 +74,7 @@
 		rerr.Write(w, "")
 		return
 	}
-	g, rerr := AcquireAlive(r.Context(), w, runner, q, aliveEvery)
+	g, rerr := AcquireAlive(r.Context(), w, runner, q, keepaliveInterval)
 	TellRate(w.Header(), runner.Rate())
 	if rerr != nil {
 		rerr.Write(w, "")
@@ -83,35 +84,37 @@
 		g.Release(owner.EndWhole)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, given{ID: s.hold(g, ask.Hold), Stalled: g.Stalled})
+	httpx.WriteJSON(w, http.StatusOK, acquireAnswer{ID: s.hold(g, ask.Hold), Stalled: g.Stalled})
 }
 
-// TellRate tells an asker an engine's rate, nil if there is none, so that it knows that when this box can no longer be asked.
+// TellRate sets the response header that contains an engine's rate limit, unless w is nil. The requesting box uses the limit when
+// it can no longer reach this box.
 func TellRate(h http.Header, w *ratelimit.Word) {
 	if w == nil {
 		return
 	}
-	text, err := json.Marshal(w)
+	encoded, err := json.Marshal(w)
 	if err != nil {
-		klog.ErrorS(err, "rate of an engine not told")
+		klog.ErrorS(err, "rate limit of the engine not encoded; response header omitted")
 		return
 	}
-	h.Set(headerRate, string(text))
+	h.Set(headerRate, string(encoded))
 }
 
+// hold stores a grant until it is released or expires, and returns its ID.
 func (s *Server) hold(g *owner.Grant, limit time.Duration) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nextID++
 	id := s.nextID
-	// What an asker that is gone sent may still run, so an expired grant counts as broken off.
+	// If the requesting box is gone, its request may still run on the engine, so an expired grant counts as broken off.
 	expiry := time.AfterFunc(min(max(limit, 0), maxHold), func() { s.release(id, owner.EndBroken) })
-	s.held[id] = &held{grant: g, expiry: expiry}
+	s.held[id] = &heldGrant{grant: g, expiry: expiry}
 	return id
 }
 
-// read passes on that the first token of a granted request has come.
-func (s *Server) read(id uint64) {
+// reportFirstToken notifies the owner that the first token of a granted request has arrived.
+func (s *Server) reportFirstToken(id uint64) {
 	s.mu.Lock()
 	h, ok := s.held[id]
 	s.mu.Unlock()
@@ -120,6 +123,7 @@
 	}
 }
 
+// release ends a grant. It ignores unknown IDs.
 func (s *Server) release(id uint64, e owner.End) {
 	s.mu.Lock()
 	h, ok := s.held[id]
@@ -132,12 +136,12 @@
 }
 
 func (s *Server) handleEnd(w http.ResponseWriter, r *http.Request) {
-	var msg ended
-	if !result.ReadJSON(w, r, maxAsk, &msg) {
+	var msg updateMessage
+	if !result.ReadJSON(w, r, maxMessageBytes, &msg) {
 		return
 	}
-	for _, id := range msg.Read {
-		s.read(id)
+	for _, id := range msg.FirstTokens {
+		s.reportFirstToken(id)
 	}
 	for _, e := range msg.Rates {
 		s.cfg.Rates.Heard(clock.Now(), e.Engine, e.Rate)
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -18,147 +18,151 @@
 )
 
 const (
-	pathTake = "/peer/place"
-	pathEnd  = "/peer/places/end"
-	// askTimeout bounds an ask: a round trip between zones takes 3 ms, on a busy box some 50. Objectives of plain requests are 150 ms and more.
-	askTimeout = 60 * time.Millisecond
-	endTimeout = time.Second
-	// silentFor is how long a box that did not answer is not asked.
-	silentFor = time.Second
-	// endsEvery gathers the ends for one keeper into one message, endsRing bounds those that wait.
-	endsEvery = 10 * time.Millisecond
-	endsRing  = 4096
+	pathAcquire = "/peer/place"
+	pathEnd     = "/peer/places/end"
+	// acquireTimeout limits one call to the keeper. A round trip between zones takes 3 ms, and about 50 ms if a box is busy.
+	// Latency objectives of plain requests are 150 ms and more.
+	acquireTimeout = 60 * time.Millisecond
+	endTimeout     = time.Second
+	// unresponsivePeriod is how long no further call is sent to a box that did not answer.
+	unresponsivePeriod = time.Second
+	// endsInterval is the time over which ended requests are collected into one message per keeper.
+	// endsBufferSize limits the number of ended requests that wait to be sent.
+	endsInterval   = 10 * time.Millisecond
+	endsBufferSize = 4096
 )
 
-// Keepers says which box keeps the count of an endpoint. It is an interface at the boundary to membership.
-type Keepers interface {
-	// For returns the address of the box that keeps the count, and whether it is this one; ok is false if there is none.
+// Locator finds the keeper of an endpoint, which is the box that counts its requests. The interface separates this package from
+// cluster membership.
+type Locator interface {
+	// For returns the address of the keeper and whether the keeper is this box. ok is false if the endpoint has no keeper.
 	For(endpoint string) (address netip.AddrPort, here, ok bool)
 }
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
 	HTTP    *http.Client
-	Keepers Keepers
-	// Keeper is that of this box.
+	Keepers Locator
+	// Keeper counts the requests at the endpoints that this box is responsible for.
 	Keeper *Keeper
-	// Rates is what this box knows of the endpoints' rates.
+	// Rates holds the rate limits of endpoints that are known to this box.
 	Rates *ratelimit.Book
 	Scope tally.Scope
 }
 
-// Client takes places for the requests of this box. Its Serve has to run.
+// Client acquires places for the requests of this box. Serve must run while the Client is in use.
 type Client struct {
-	cfg    ClientConfig
-	silent *recent.Set[netip.AddrPort]
-	ends   *gather.Gatherer[netip.AddrPort, End]
+	cfg          ClientConfig
+	unresponsive *recent.Set[netip.AddrPort]
+	ends         *gather.Gatherer[netip.AddrPort, EndReport]
 }
 
-// NewClient returns a Client.
+// NewClient returns a Client, which sends nothing about ended requests until Serve runs.
 func NewClient(cfg ClientConfig) *Client {
-	c := &Client{cfg: cfg, silent: recent.New[netip.AddrPort](silentFor)}
-	c.ends = gather.New(gather.Config[netip.AddrPort, End]{
-		Ring: endsRing, Every: endsEvery, Send: c.tell,
+	c := &Client{cfg: cfg, unresponsive: recent.New[netip.AddrPort](unresponsivePeriod)}
+	c.ends = gather.New(gather.Config[netip.AddrPort, EndReport]{
+		Ring: endsBufferSize, Every: endsInterval, Send: c.sendEnds,
 		Dropped: func() { cfg.Scope.Counter("place_ends_dropped").Inc(1) },
 	})
 	return c
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has returned.
 func (c *Client) Done() <-chan struct{} { return c.ends.Done() }
 
-// Serve tells keepers of ends until ctx ends.
+// Serve reports ended requests to their keepers until ctx is done.
 func (c *Client) Serve(ctx context.Context) error { return c.ends.Serve(ctx) }
 
-// Place is held by one request until End is called. Call it once, with the time until the answer came, or zero if none came that says how
-// fast the endpoint is.
+// Place permits one request at an endpoint until End is called. End must be called exactly once, with the time until the response
+// arrived. If no response arrived that shows the speed of the endpoint, the time must be zero.
 type Place struct {
-	End func(took time.Duration)
+	End func(latency time.Duration)
 }
 
-// Refusal says why there is no place.
+// Refusal is the reason why a request received no place.
 type Refusal struct {
-	// Wait is when to come back.
+	// Wait is the time after which the request may be retried.
 	Wait time.Duration
-	// Limited says that the endpoint's rate is used up; else it has no room.
+	// Limited is true if the endpoint's rate limit is exhausted, and false if the endpoint has too many requests in progress.
 	Limited bool
 }
 
-// Take asks for a place. The Place is nil if there is none. While nobody keeps the count every request gets one, as far as this box's own share of the
-// endpoint's rate allows.
+// Take acquires a place for one request. The Place is nil if the request was refused. While no keeper is available, only this
+// box's own share of the endpoint's rate limits the requests.
 func (c *Client) Take(ctx context.Context, a Ask) (*Place, Refusal) {
-	a.Rate = c.rate(a)
+	a.Rate = c.knownRate(a)
 	address, here, ok := c.cfg.Keepers.For(a.Endpoint)
-	if !ok || (!here && c.silent.Has(address, clock.Now())) {
-		return c.uncounted(a)
+	if !ok || (!here && c.unresponsive.Has(address, clock.Now())) {
+		return c.acquireUncounted(a)
 	}
 	if here {
-		answer := c.cfg.Keeper.Take(clock.Now(), a)
-		return c.place(a, answer, func(e End) {
-			c.cfg.Keeper.Hear(clock.Now(), e.Endpoint, e.Rate)
+		answer := c.cfg.Keeper.Acquire(clock.Now(), a)
+		return c.placeOrRefusal(a, answer, func(e EndReport) {
+			c.cfg.Keeper.UpdateRate(clock.Now(), e.Endpoint, e.Rate)
 			c.cfg.Keeper.End(e)
 		})
 	}
-	answer, err := c.ask(ctx, address, a)
+	answer, err := c.requestPlace(ctx, address, a)
 	if err != nil {
 		c.cfg.Scope.Counter("places_unanswered").Inc(1)
-		klog.V(2).InfoS("no word on places", "endpoint", a.Endpoint, "keeper", address, "err", err)
-		return c.uncounted(a)
+		klog.V(2).InfoS("place request to keeper failed; falling back to own share of the rate", "endpoint", a.Endpoint, "keeper", address, "err", err)
+		return c.acquireUncounted(a)
 	}
 	if answer.Rate != nil {
 		c.cfg.Rates.Heard(clock.Now(), a.Endpoint, *answer.Rate)
 	}
-	return c.place(a, answer, func(e End) { c.ends.Add(address, e) })
+	return c.placeOrRefusal(a, answer, func(e EndReport) { c.ends.Add(address, e) })
 }
 
-// rate returns what is known of an endpoint's rate, nil if that is nothing.
-func (c *Client) rate(a Ask) *ratelimit.Word {
+// knownRate returns the latest known rate limit of the endpoint, or nil if none is known.
+func (c *Client) knownRate(a Ask) *ratelimit.Word {
 	if !c.cfg.Rates.Any() {
 		return nil
 	}
 	return c.cfg.Rates.Word(clock.Now(), a.Endpoint, a.Started)
 }
 
-// uncounted returns a place that nobody counts.
-func (c *Client) uncounted(a Ask) (*Place, Refusal) {
+// acquireUncounted acquires a place without a keeper, limited only by this box's own share of the endpoint's rate.
+func (c *Client) acquireUncounted(a Ask) (*Place, Refusal) {
 	if wait, ok := c.cfg.Rates.TakeLone(clock.Now(), a.Endpoint, a.Started); !ok {
 		return nil, Refusal{Wait: wait, Limited: true}
 	}
 	return &Place{End: func(time.Duration) {}}, Refusal{}
 }
 
-func (c *Client) place(a Ask, answer Answer, end func(End)) (*Place, Refusal) {
+// placeOrRefusal converts the keeper's answer to a place or a refusal.
+func (c *Client) placeOrRefusal(a Ask, answer Answer, end func(EndReport)) (*Place, Refusal) {
 	if !answer.Granted {
-		if answer.Limited {
+		if answer.RateLimited {
 			c.cfg.Scope.Counter("rate_refused").Inc(1)
 		}
-		return nil, Refusal{Wait: answer.Wait, Limited: answer.Limited}
+		return nil, Refusal{Wait: answer.Wait, Limited: answer.RateLimited}
 	}
-	return &Place{End: func(took time.Duration) {
-		end(End{Endpoint: a.Endpoint, ID: answer.ID, Took: took, Rate: c.rate(a)})
+	return &Place{End: func(latency time.Duration) {
+		end(EndReport{Endpoint: a.Endpoint, ID: answer.ID, Latency: latency, Rate: c.knownRate(a)})
 	}}, Refusal{}
 }
 
-// ask asks the keeper at an address. One that does not answer is not asked again for a while.
-func (c *Client) ask(ctx context.Context, address netip.AddrPort, a Ask) (Answer, error) {
-	timed, cancel := context.WithTimeout(ctx, askTimeout)
+// requestPlace sends the request to the keeper at address. A keeper that does not answer is skipped for unresponsivePeriod.
+func (c *Client) requestPlace(ctx context.Context, address netip.AddrPort, a Ask) (Answer, error) {
+	callCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	var answer Answer
-	err := httpx.AskOnce(timed, c.cfg.HTTP, "http://"+address.String()+pathTake, a, &answer)
+	err := httpx.AskOnce(callCtx, c.cfg.HTTP, "http://"+address.String()+pathAcquire, a, &answer)
 	if httpx.IsUnanswered(err) && ctx.Err() == nil {
-		c.silent.Add(address, clock.Now())
+		c.unresponsive.Add(address, clock.Now())
 	}
-	return answer, eris.Wrap(err, "places: call")
+	return answer, eris.Wrap(err, "places: request to keeper failed")
 }
 
-// tell tells a keeper of ends.
-func (c *Client) tell(ctx context.Context, address netip.AddrPort, all []End) {
+// sendEnds sends ended requests to the keeper at address.
+func (c *Client) sendEnds(ctx context.Context, address netip.AddrPort, ends []EndReport) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer cancel()
-	resp, err := httpx.PostOnce(ctx, c.cfg.HTTP, "http://"+address.String()+pathEnd, all)
+	resp, err := httpx.PostOnce(ctx, c.cfg.HTTP, "http://"+address.String()+pathEnd, ends)
 	if err != nil {
-		c.cfg.Scope.Counter("place_ends_lost").Inc(int64(len(all)))
-		klog.V(1).InfoS("ends of places not told; they expire", "keeper", address, "ends", len(all), "err", err)
+		c.cfg.Scope.Counter("place_ends_lost").Inc(int64(len(ends)))
+		klog.V(1).InfoS("ended requests not reported; their places will expire", "keeper", address, "ends", len(ends), "err", err)
 		return
 	}
 	httpx.Drain(resp.Body)
--- a/internal/places/keeper.go
+++ b/internal/places/keeper.go
@@ -1,5 +1,7 @@
-// Package places counts the requests of all boxes at each endpoint of a plain service, so that no more are sent there than it answers in time.
-// One box at a time keeps the count of an endpoint; the others ask it before they send.
+// Package places limits the requests that all boxes together send to each endpoint of a plain service to the number that the
+// endpoint can answer in time. For each endpoint one box at a time is the keeper, which counts the requests in progress. A box
+// must acquire a place from the keeper before it sends a request to the endpoint, and reports to the keeper when the request has
+// ended.
 package places
 
 import (
@@ -12,136 +14,145 @@
 )
 
 const (
-	// openingDepth is how many requests a place an endpoint gets at first, until its answers have shown how long one takes.
-	openingDepth = 2
-	// serviceSmoothing weighs the newest answer in the time that a request takes.
+	// initialDepth is the number of requests per slot that an endpoint may have until its first response shows how long a request
+	// takes.
+	initialDepth = 2
+	// serviceSmoothing is the weight of the newest response in the moving average of the service time.
 	serviceSmoothing = 0.05
-	// maxWait bounds when a refused request is told to come back.
+	// maxWait limits the wait before a refused request is retried.
 	maxWait = 2 * time.Second
-	// maxEndpoints bounds the endpoints that a Keeper remembers; beyond it those without requests are dropped.
+	// maxEndpoints is the number of endpoints in a Keeper from which on a new endpoint evicts the idle ones.
 	maxEndpoints = 4096
-	// maxHold bounds how long a place is held whose request never ends.
+	// maxHold is the longest time until a place expires whose request is never reported as ended.
 	maxHold = time.Minute
 )
 
-// Ask asks for a place at an endpoint for one request.
+// Ask is the message by which a box requests a place at an endpoint for one request.
 type Ask struct {
 	Endpoint string `json:"endpoint"`
-	// Slots is how many requests the endpoint runs at once.
+	// Slots is the number of requests that the endpoint runs at the same time.
 	Slots int `json:"slots"`
-	// Within is the time in which the answer is of full use.
+	// Within is the time within which the response has its full value.
 	Within time.Duration `json:"within"`
-	// Hold is how long the request may last.
+	// Hold is the longest duration of the request.
 	Hold time.Duration `json:"hold"`
-	// Urgency is higher for what goes first, Customer whose request it is.
+	// Urgency is higher for requests that take precedence. Customer owns the request.
 	Urgency  int    `json:"urgency,omitempty"`
 	Customer string `json:"customer,omitempty"`
-	// Started is the Unix millisecond of the endpoint's start as the asker knows it, Rate what it knows of the endpoint's rate.
+	// Started is the start time of the endpoint that the requesting box knows, in Unix milliseconds. Rate is the endpoint's rate
+	// limit that the requesting box knows.
 	Started int64           `json:"started,omitempty"`
 	Rate    *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// AnySlots is for endpoints that do not say how many requests they run at once.
+// AnySlots is the value of Ask.Slots for endpoints that do not declare how many requests they run at the same time.
 const AnySlots = math.MaxInt32
 
-// Answer grants a place or says when to come back.
+// Answer is the response to an Ask. It grants a place or contains the wait before the next attempt.
 type Answer struct {
 	Granted bool   `json:"granted"`
 	ID      uint64 `json:"id,omitempty"`
-	// Wait is how long to come back after, if no place was granted.
+	// Wait is the time after which the request may be retried, if no place was granted.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Limited says that none was granted for the endpoint's rate, which Rate tells if it names one.
-	Limited bool            `json:"limited,omitempty"`
-	Rate    *ratelimit.Word `json:"rate,omitempty"`
+	// RateLimited is true if the endpoint's rate limit was the reason for the refusal. Rate is that limit, nil if the endpoint
+	// has none.
+	RateLimited bool            `json:"limited,omitempty"`
+	Rate        *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// End ends a request that had a place.
-type End struct {
+// EndReport is the message by which a box reports that a request with a place has ended.
+type EndReport struct {
 	Endpoint string `json:"endpoint"`
 	ID       uint64 `json:"id"`
-	// Took is the time until the answer came, zero if none came that says how fast the endpoint is.
-	Took time.Duration `json:"took,omitempty"`
-	// Rate is what the asker knows by now of the endpoint's rate.
+	// Latency is the time until the response arrived. It is zero if no response arrived that shows the speed of the endpoint.
+	Latency time.Duration `json:"took,omitempty"`
+	// Rate is the endpoint's rate limit that the reporting box knows at the end of the request.
 	Rate *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// Keeper counts the requests at the endpoints that are this box's to count.
+// Keeper counts the requests at the endpoints that this box is responsible for.
 type Keeper struct {
 	mu        sync.Mutex
 	nextID    uint64
-	endpoints map[string]*count
+	endpoints map[string]*endpointCount
 }
 
-// count is what is known of one endpoint.
-type count struct {
+// endpointCount is the state of one endpoint.
+type endpointCount struct {
 	slots int
-	held  map[uint64]place
-	// service is how long one request takes in a slot of its own, zero while no answer has shown it.
-	service time.Duration
-	turns   turn.Turns
-	// rate keeps to the requests a second that the endpoint names. The box that counts them hears of it with what boxes ask and end anyway: keeping to
-	// it takes no message more, and a box needs not know the rate to be held to it.
-	rate ratelimit.Limiter
+	// held contains the places in use, by their IDs.
+	held map[uint64]place
+	// serviceTime is the average time that a request takes if it doesn't share a slot. It is zero until a response has shown it.
+	serviceTime time.Duration
+	// retryTurns spreads the retries of refused requests over time.
+	retryTurns turn.Turns
+	// limiter enforces the requests per second that the endpoint reports as its limit. The keeper receives the limit in the Ask
+	// and EndReport messages, so the limit needs no messages of its own. It also applies to boxes that don't know it.
+	limiter ratelimit.Limiter
 }
 
-// place is held by one request.
+// place is a place in use by one request.
 type place struct {
-	until time.Time
-	// with is how many requests were there when it came, itself included.
-	with int
+	expiresAt time.Time
+	// concurrency is the number of requests at the endpoint when this one was admitted, including this one.
+	concurrency int
 }
 
-// NewKeeper returns a Keeper. Its places are numbered from firstID: ends of places that a former process gave must end none of this one's.
+// NewKeeper returns a Keeper that numbers its places after firstID. Each process must use a different firstID: an EndReport for a
+// place that a previous process granted must not end a place that this process granted.
 func NewKeeper(firstID uint64) *Keeper {
-	return &Keeper{nextID: firstID, endpoints: map[string]*count{}}
+	return &Keeper{nextID: firstID, endpoints: map[string]*endpointCount{}}
 }
 
-// Take answers an ask. While a slot is free a place is granted; beyond that, while the answer is expected in time.
-func (k *Keeper) Take(now time.Time, a Ask) Answer {
+// Acquire grants a place if the endpoint has a free slot or its response is expected in time, and if its rate limit allows the
+// request.
+func (k *Keeper) Acquire(now time.Time, a Ask) Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.count(now, a.Endpoint)
-	c.rate.Born(a.Started)
-	c.rate.Hear(now, a.Rate)
+	c := k.getOrCreate(now, a.Endpoint)
+	c.limiter.Born(a.Started)
+	c.limiter.Hear(now, a.Rate)
 	c.slots = max(1, a.Slots)
-	c.expire(now)
-	with := len(c.held) + 1
-	if with > c.slots && !c.inTime(with, a.Within) {
-		own := c.service / time.Duration(c.slots)
-		return Answer{Wait: max(c.service, c.turns.Take(now, own, maxWait)), Rate: c.rate.Word(now)}
+	c.expirePlaces(now)
+	concurrency := len(c.held) + 1
+	if concurrency > c.slots && !c.isInTime(concurrency, a.Within) {
+		interval := c.serviceTime / time.Duration(c.slots)
+		return Answer{Wait: max(c.serviceTime, c.retryTurns.Take(now, interval, maxWait)), Rate: c.limiter.Word(now)}
 	}
-	if wait, ok := c.rate.Check(now, ratelimit.Ask{Urgency: a.Urgency, Customer: a.Customer}); !ok {
-		return Answer{Wait: wait, Limited: true, Rate: c.rate.Word(now)}
+	if wait, ok := c.limiter.Check(now, ratelimit.Ask{Urgency: a.Urgency, Customer: a.Customer}); !ok {
+		return Answer{Wait: wait, RateLimited: true, Rate: c.limiter.Word(now)}
 	}
-	c.rate.Use(now, a.Customer)
+	c.limiter.Use(now, a.Customer)
 	k.nextID++
-	c.held[k.nextID] = place{until: now.Add(min(max(a.Hold, 0), maxHold)), with: with}
-	return Answer{Granted: true, ID: k.nextID, Rate: c.rate.Word(now)}
+	c.held[k.nextID] = place{expiresAt: now.Add(min(max(a.Hold, 0), maxHold)), concurrency: concurrency}
+	return Answer{Granted: true, ID: k.nextID, Rate: c.limiter.Word(now)}
 }
 
-// Hear takes in what an endpoint said of its rate.
-func (k *Keeper) Hear(now time.Time, endpoint string, w *ratelimit.Word) {
+// UpdateRate records the rate limit that an endpoint reported. A nil limit is ignored.
+func (k *Keeper) UpdateRate(now time.Time, endpoint string, w *ratelimit.Word) {
 	if w == nil {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.count(now, endpoint).rate.Hear(now, w)
+	k.getOrCreate(now, endpoint).limiter.Hear(now, w)
 }
 
-// inTime reports whether the answer to one of so many requests is expected within a time.
-func (c *count) inTime(with int, within time.Duration) bool {
-	if c.service == 0 {
-		return with <= openingDepth*c.slots
+// isInTime reports whether the response is expected within maxLatency if concurrency requests are at the endpoint.
+func (c *endpointCount) isInTime(concurrency int, maxLatency time.Duration) bool {
+	if c.serviceTime == 0 {
+		return concurrency <= initialDepth*c.slots
 	}
-	return time.Duration(float64(c.service)*c.depth(with)) <= within
+	return time.Duration(float64(c.serviceTime)*c.loadFactor(concurrency)) <= maxLatency
 }
 
-// depth returns how many times as long as in a slot of its own a request takes among so many.
-func (c *count) depth(with int) float64 { return max(1, float64(with)/float64(c.slots)) }
+// loadFactor returns how many times longer a request takes among concurrency requests than in a slot of its own.
+func (c *endpointCount) loadFactor(concurrency int) float64 {
+	return max(1, float64(concurrency)/float64(c.slots))
+}
 
-// End takes the end of a request in.
-func (k *Keeper) End(e End) {
+// End releases the place of a request and updates the average service time of its endpoint. It ignores unknown places.
+func (k *Keeper) End(e EndReport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.endpoints[e.Endpoint]
@@ -150,42 +161,44 @@
 	}
 	p, ok := c.held[e.ID]
 	delete(c.held, e.ID)
-	if !ok || e.Took <= 0 {
+	if !ok || e.Latency <= 0 {
 		return
 	}
-	alone := time.Duration(float64(e.Took) / c.depth(p.with))
-	if c.service == 0 {
-		c.service = alone
+	sample := time.Duration(float64(e.Latency) / c.loadFactor(p.concurrency))
+	if c.serviceTime == 0 {
+		c.serviceTime = sample
 		return
 	}
-	c.service += time.Duration(math.Round(serviceSmoothing * float64(alone-c.service)))
+	c.serviceTime += time.Duration(math.Round(serviceSmoothing * float64(sample-c.serviceTime)))
 }
 
-func (k *Keeper) count(now time.Time, endpoint string) *count {
+// getOrCreate returns the state of an endpoint, which it creates if needed.
+func (k *Keeper) getOrCreate(now time.Time, endpoint string) *endpointCount {
 	c := k.endpoints[endpoint]
 	if c == nil {
 		if len(k.endpoints) >= maxEndpoints {
-			k.forget(now)
+			k.evictIdle(now)
 		}
-		c = &count{held: map[uint64]place{}}
+		c = &endpointCount{held: map[uint64]place{}}
 		k.endpoints[endpoint] = c
 	}
 	return c
 }
 
-// forget drops endpoints without requests that name no rate.
-func (k *Keeper) forget(now time.Time) {
+// evictIdle removes the endpoints that have neither requests nor a current rate limit.
+func (k *Keeper) evictIdle(now time.Time) {
 	for name, c := range k.endpoints {
-		if len(c.held) == 0 && c.rate.Idle(now) {
+		if len(c.held) == 0 && c.limiter.CanForget(now) {
 			delete(k.endpoints, name)
 		}
 	}
 }
 
-// expire ends places whose requests must be over: the box that had one is gone, or the message of its end was lost.
-func (c *count) expire(now time.Time) {
+// expirePlaces releases the places that are past their maximum duration. The box that sent such a request is gone, or its
+// EndReport was lost.
+func (c *endpointCount) expirePlaces(now time.Time) {
 	for id, p := range c.held {
-		if now.After(p.until) {
+		if now.After(p.expiresAt) {
 			delete(c.held, id)
 		}
 	}
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -9,46 +9,46 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// maxMessage bounds a message.
-const maxMessage = 256 << 10
+// maxMessageBytes limits the size of a received message.
+const maxMessageBytes = 256 << 10
 
-// ServerConfig configures a Server.
+// ServerConfig holds the dependencies of a Server.
 type ServerConfig struct {
 	Keeper *Keeper
-	// Rates is what this box knows of the endpoints' rates.
+	// Rates holds the rate limits of endpoints that are known to this box.
 	Rates *ratelimit.Book
 }
 
-// Server answers the asks of other boxes.
+// Server handles the place requests of other boxes.
 type Server struct{ cfg ServerConfig }
 
-// NewServer returns a Server.
+// NewServer returns a Server. Its handlers are added by Register.
 func NewServer(cfg ServerConfig) *Server { return &Server{cfg: cfg} }
 
-// Register adds the paths to mux.
+// Register adds the HTTP handlers to mux.
 func (s *Server) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+pathTake, s.handleTake)
+	mux.HandleFunc("POST "+pathAcquire, s.handleTake)
 	mux.HandleFunc("POST "+pathEnd, s.handleEnd)
 }
 
 func (s *Server) handleTake(w http.ResponseWriter, r *http.Request) {
 	var a Ask
-	if !result.ReadJSON(w, r, maxMessage, &a) {
+	if !result.ReadJSON(w, r, maxMessageBytes, &a) {
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, s.cfg.Keeper.Take(clock.Now(), a))
+	httpx.WriteJSON(w, http.StatusOK, s.cfg.Keeper.Acquire(clock.Now(), a))
 }
 
 func (s *Server) handleEnd(w http.ResponseWriter, r *http.Request) {
-	var all []End
-	if !result.ReadJSON(w, r, maxMessage, &all) {
+	var ends []EndReport
+	if !result.ReadJSON(w, r, maxMessageBytes, &ends) {
 		return
 	}
-	for _, e := range all {
+	for _, e := range ends {
 		if e.Rate != nil {
 			s.cfg.Rates.Heard(clock.Now(), e.Endpoint, *e.Rate)
 		}
-		s.cfg.Keeper.Hear(clock.Now(), e.Endpoint, e.Rate)
+		s.cfg.Keeper.UpdateRate(clock.Now(), e.Endpoint, e.Rate)
 		s.cfg.Keeper.End(e)
 	}
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -18,195 +18,204 @@
 )
 
 const (
-	// liftedFor is how long a box remembers that an endpoint no longer names a rate, so that it can tell boxes that still go by one.
-	liftedFor = 30 * time.Second
-	// maxWords bounds the endpoints that a Book remembers, at some 200 bytes each; beyond it the one heard of longest ago is dropped.
-	maxWords = 4096
-	// toldEvery is the least time between two lines on a rate that moves, for each endpoint.
-	toldEvery = 5 * time.Second
-	// maxWait is for how far ahead refused requests are told when to come back in turn: callers wait 10 to 25 s for an answer.
+	// liftedRetention is how long a box stores the report that an endpoint has no rate limit any more, so that it can inform
+	// boxes that still apply the limit.
+	liftedRetention = 30 * time.Second
+	// maxEntries limits the endpoints in a Book, which take about 200 bytes each. When it is reached, a new endpoint replaces the
+	// one with the oldest report.
+	maxEntries = 4096
+	// changeLogInterval is the minimum time between two log lines about changes of one endpoint's rate.
+	changeLogInterval = 5 * time.Second
+	// maxWait is how far ahead retries of refused requests are scheduled. Callers wait 10 to 25 s for a response.
 	maxWait = 15 * time.Second
-	// ignoredEvery is the least time between two lines on rates of an endpoint that cannot be understood.
-	ignoredEvery = 10 * time.Second
-	// mostLines is how many lines a second tell of rates: all endpoints of a large fleet may name one at once.
-	mostLines = 20
-	// sumEvery is how often the rates of a service's endpoints are summed up: there may be thousands, and as many refused requests a second.
-	sumEvery = time.Second
-	// maxServices bounds the services whose refused requests are told apart.
+	// ignoredLogInterval is the minimum time between two log lines about invalid rates from one endpoint.
+	ignoredLogInterval = 10 * time.Second
+	// maxLinesPerSecond limits the log lines about rate changes, because all endpoints of a large fleet may report a limit at the
+	// same time.
+	maxLinesPerSecond = 20
+	// sumInterval is the time for which the sum of the rates of a service's endpoints is reused. There may be thousands of
+	// endpoints, and thousands of refused requests per second.
+	sumInterval = time.Second
+	// maxServices limits the services with a retry schedule. When it is reached, all schedules are discarded.
 	maxServices = 1024
 )
 
-// heard is a word with when it was said, by this box's clock.
-type heard struct {
+// observation is a report of an endpoint with the time at which it was sent, by this box's clock.
+type observation struct {
 	Word
 	at time.Time
 }
 
-// newer reports whether a word goes before another one: that of a later life, else the one said later.
-func (h heard) newer(than heard) bool {
-	if h.Started != than.Started {
-		return h.Started > than.Started
+// isNewer reports whether the observation replaces another one of the same endpoint. The later start of the endpoint decides. If
+// the start is the same, the later report decides.
+func (o observation) isNewer(other observation) bool {
+	if o.Started != other.Started {
+		return o.Started > other.Started
 	}
-	return h.at.After(than.at)
+	return o.at.After(other.at)
 }
 
-// told returns the word for another box.
-func (h heard) told(now time.Time) Word {
-	w := h.Word
-	w.Age = max(0, now.Sub(h.at))
+// withAge returns the report with its age, for a message to another box.
+func (o observation) withAge(now time.Time) Word {
+	w := o.Word
+	w.Age = max(0, now.Sub(o.at))
 	return w
 }
 
 // BookConfig configures a Book.
 type BookConfig struct {
-	// Boxes returns how many boxes there are.
+	// Boxes returns the number of boxes in the system.
 	Boxes func() int
 	Scope tally.Scope
 }
 
-// Book is what one box knows of the rates that endpoints name. A nil Book knows nothing.
+// Book stores the latest rate reports of endpoints that one box has received.
+// A nil Book acts as an empty one in all methods, except those that schedule retries and list limits.
 type Book struct {
 	cfg BookConfig
-	// ignored are the endpoints that lately named rates which cannot be understood.
-	ignored *recent.Set[string]
-	// count is how many words there are: with none, as on most days, a look costs no lock.
-	count atomic.Int64
+	// recentlyIgnored contains the endpoints whose invalid rates were logged within ignoredLogInterval.
+	recentlyIgnored *recent.Set[string]
+	// size is the number of entries. While it is zero, which is the usual case, lookups need no lock.
+	size atomic.Int64
 
-	mu    sync.Mutex
-	words map[string]*entry
-	// forgot is when words that are over were last dropped.
-	forgot time.Time
-	// lines tells what has changed.
-	lines logline.Limit
-	// returns tell those who were refused when to come back, by service.
-	returns map[string]*returns
+	mu      sync.Mutex
+	entries map[string]*entry
+	// lastPruned is the time of the latest removal of expired entries.
+	lastPruned time.Time
+	// logLimit limits the log lines about rate changes.
+	logLimit logline.Limit
+	// retrySchedules contains the schedule for refused requests of each service.
+	retrySchedules map[string]*retrySchedule
 }
 
-// returns spreads the refused requests of a service over what its endpoints take.
-type returns struct {
+// retrySchedule spreads the retries of a service's refused requests according to the rates of its endpoints.
+type retrySchedule struct {
+	// turns assigns the waits, one behind the other.
 	turns turn.Turns
-	// sum is the requests a second that the endpoints took when that was summed up.
-	sum    float64
-	summed time.Time
+	// rateSum is the number of requests per second that all endpoints together accepted at summedAt.
+	rateSum  float64
+	summedAt time.Time
 }
 
-// entry is what is known of one endpoint.
+// entry is the state of one endpoint.
 type entry struct {
-	heard
-	// since is when it first named a rate, logged when another one was last logged.
-	since, logged time.Time
-	// lone is this box's own share of the rate, for when nobody can be asked.
-	lone Limiter
+	observation
+	// limitedSince is when the endpoint began to report a limit. lastLogged is when a limit of the endpoint was last logged.
+	limitedSince, lastLogged time.Time
+	// ownLimiter enforces this box's own share of the rate while the keeper of the endpoint cannot be reached.
+	ownLimiter Limiter
 }
 
-// NewBook returns an empty Book.
+// NewBook returns a Book without any reports.
 func NewBook(cfg BookConfig) *Book {
-	return &Book{cfg: cfg, ignored: recent.New[string](ignoredEvery), words: map[string]*entry{}, returns: map[string]*returns{}, lines: logline.Limit{Most: mostLines}}
+	return &Book{cfg: cfg, recentlyIgnored: recent.New[string](ignoredLogInterval), entries: map[string]*entry{}, retrySchedules: map[string]*retrySchedule{}, logLimit: logline.Limit{Most: maxLinesPerSecond}}
 }
 
-// Any reports whether anything is known of any endpoint.
-func (b *Book) Any() bool { return b != nil && b.count.Load() > 0 }
+// Any reports whether the Book contains at least one endpoint.
+func (b *Book) Any() bool { return b != nil && b.size.Load() > 0 }
 
-// Heard takes in what an endpoint, or another box, said of it. It reports whether the box that counts the endpoint's requests has to know: that is so
-// for rates, and while a box may still go by one that is over.
+// Heard stores a rate report that came from the endpoint or from another box. It returns whether the keeper of the endpoint must
+// be informed. This is the case if the report contains a limit, or if another box may still apply a limit that is no longer in
+// force.
 func (b *Book) Heard(now time.Time, endpoint string, w Word) bool {
 	if b == nil || (!w.Limited && !b.Any()) {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.words[endpoint]
+	e := b.entries[endpoint]
 	if e == nil && !w.Limited {
 		return false
 	}
-	h := w.heard(now)
+	next := w.toObservation(now)
 	if e == nil {
-		e = b.add(endpoint)
-	} else if !h.newer(e.heard) {
+		e = b.addEntry(endpoint)
+	} else if !next.isNewer(e.observation) {
 		return true
 	}
-	b.tell(now, endpoint, e, h)
-	e.heard = h
-	if now.Sub(b.forgot) >= time.Second {
-		b.forget(now)
+	b.logChange(now, endpoint, e, next)
+	e.observation = next
+	if now.Sub(b.lastPruned) >= time.Second {
+		b.prune(now)
 	}
 	return true
 }
 
-// Ignored takes in that an endpoint named a rate that cannot be understood. What was known of it stands.
+// Ignored counts and logs that an endpoint reported an invalid rate. The previous report of the endpoint stays in force.
 func (b *Book) Ignored(now time.Time, endpoint string, err error) {
 	if b == nil {
 		return
 	}
 	b.cfg.Scope.Counter("rates_ignored").Inc(1)
-	if b.ignored.Has(endpoint, now) {
+	if b.recentlyIgnored.Has(endpoint, now) {
 		return
 	}
-	b.ignored.Add(endpoint, now)
-	klog.ErrorS(err, "rate of an endpoint ignored", "endpoint", endpoint)
+	b.recentlyIgnored.Add(endpoint, now)
+	klog.ErrorS(err, "invalid rate limit reported by endpoint; ignored", "endpoint", endpoint)
 }
 
-// tell logs what has changed.
-func (b *Book) tell(now time.Time, endpoint string, e *entry, h heard) {
+// logChange logs the difference between the stored report and the next one.
+func (b *Book) logChange(now time.Time, endpoint string, e *entry, next observation) {
 	switch {
-	case h.Limited && (!e.Limited || h.Started > e.Started):
-		e.since, e.logged = h.at, now
+	case next.Limited && (!e.Limited || next.Started > e.Started):
+		e.limitedSince, e.lastLogged = next.at, now
 		b.cfg.Scope.Counter("rates_named").Inc(1)
-		b.lines.Info(now, "endpoint names a rate", "endpoint", endpoint, "rate", h.Rate, "age", now.Sub(h.at))
-	case !h.Limited && e.Limited:
+		b.logLimit.Info(now, "endpoint reports a rate limit", "endpoint", endpoint, "rate", next.Rate, "age", now.Sub(next.at))
+	case !next.Limited && e.Limited:
 		b.cfg.Scope.Counter("rates_lifted").Inc(1)
-		b.lines.Info(now, "endpoint names no rate any more", "endpoint", endpoint, "rate", e.Rate, "for", now.Sub(e.since), "age", now.Sub(h.at))
-	case h.Limited && h.Rate != e.Rate && now.Sub(e.logged) >= toldEvery:
-		e.logged = now
-		b.lines.Info(now, "endpoint names another rate", "endpoint", endpoint, "rate", h.Rate, "before", e.Rate, "age", now.Sub(h.at))
+		b.logLimit.Info(now, "endpoint no longer reports a rate limit", "endpoint", endpoint, "rate", e.Rate, "for", now.Sub(e.limitedSince), "age", now.Sub(next.at))
+	case next.Limited && next.Rate != e.Rate && now.Sub(e.lastLogged) >= changeLogInterval:
+		e.lastLogged = now
+		b.logLimit.Info(now, "endpoint changed its rate limit", "endpoint", endpoint, "rate", next.Rate, "before", e.Rate, "age", now.Sub(next.at))
 	}
 }
 
-// add makes an entry, and room for it.
-func (b *Book) add(endpoint string) *entry {
-	if len(b.words) >= maxWords {
+// addEntry adds an empty entry. If the Book is full, it first removes the entry with the oldest report.
+func (b *Book) addEntry(endpoint string) *entry {
+	if len(b.entries) >= maxEntries {
 		oldest := ""
-		for name, e := range b.words {
-			if oldest == "" || e.at.Before(b.words[oldest].at) {
+		for name, e := range b.entries {
+			if oldest == "" || e.at.Before(b.entries[oldest].at) {
 				oldest = name
 			}
 		}
-		delete(b.words, oldest)
+		delete(b.entries, oldest)
 	}
 	e := &entry{}
-	b.words[endpoint] = e
-	b.count.Store(int64(len(b.words)))
+	b.entries[endpoint] = e
+	b.size.Store(int64(len(b.entries)))
 	return e
 }
 
-// forget drops rates that were lifted some time ago.
-func (b *Book) forget(now time.Time) {
-	b.forgot = now
-	for name, e := range b.words {
-		if !e.Limited && now.Sub(e.at) >= liftedFor {
-			delete(b.words, name)
+// prune removes the endpoints that have had no rate limit for liftedRetention.
+func (b *Book) prune(now time.Time) {
+	b.lastPruned = now
+	for name, e := range b.entries {
+		if !e.Limited && now.Sub(e.at) >= liftedRetention {
+			delete(b.entries, name)
 		}
 	}
-	b.count.Store(int64(len(b.words)))
+	b.size.Store(int64(len(b.entries)))
 }
 
-// Word returns what is known of an endpoint's present life, nil if that is nothing. What was heard before its start was known is void.
+// Word returns the latest report of an endpoint since its start, or nil if there is none. A report from before started is void.
 func (b *Book) Word(now time.Time, endpoint string, started int64) *Word {
 	if !b.Any() {
 		return nil
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.words[endpoint]
+	e := b.entries[endpoint]
 	if e == nil || e.Started < started {
 		return nil
 	}
-	w := e.told(now)
+	w := e.withAge(now)
 	return &w
 }
 
-// TakeLone takes a request out of this box's own share of an endpoint's rate, while the box that counts cannot be asked. Without a rate there is no
-// bound. The wait is when to come back if none is left.
+// TakeLone reports whether a request fits in this box's own share of an endpoint's rate, and consumes a part of the share if it
+// does. It is used while the keeper of the endpoint cannot be reached. Without a rate limit all requests are allowed. If the
+// share is used up, wait is the time after which the request may be retried.
 func (b *Book) TakeLone(now time.Time, endpoint string, started int64) (wait time.Duration, ok bool) {
 	word := b.Word(now, endpoint, started)
 	if word == nil || !word.Limited {
@@ -214,74 +223,76 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	e := b.words[endpoint]
+	e := b.entries[endpoint]
 	if e == nil {
 		return 0, true
 	}
-	e.lone.Hear(now, word)
-	if wait, ok = e.lone.Check(now, Ask{Lone: loneShare / float64(max(1, b.cfg.Boxes()))}); ok {
-		e.lone.Use(now, "")
+	e.ownLimiter.Hear(now, word)
+	if wait, ok = e.ownLimiter.Check(now, Ask{Lone: ownShareTotal / float64(max(1, b.cfg.Boxes()))}); ok {
+		e.ownLimiter.Use(now, "")
 	}
 	b.cfg.Scope.Tagged(map[string]string{"sent": strconv.FormatBool(ok)}).Counter("rate_own_share").Inc(1)
 	return wait, ok
 }
 
-// ComeBack returns when a request is to come back that none of a service's endpoints may take for their rates, not before soonest. Each box spreads its
-// own over its part of what the endpoints take, so that together as many come back as are taken, and no box has to be asked.
-func (b *Book) ComeBack(now time.Time, service string, endpoints func() []string, soonest time.Duration) time.Duration {
+// ComeBack returns the time after which a request may be retried that was refused because of the rate limits of all endpoints of
+// a service. The wait is at least earliest, up to maxWait. Each box spreads its own retries over an equal part of the endpoints'
+// total rate. All boxes together thus receive as many retries as the endpoints accept, without messages between the boxes.
+func (b *Book) ComeBack(now time.Time, service string, endpoints func() []string, earliest time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r := b.returns[service]
-	if r == nil {
-		if len(b.returns) >= maxServices {
-			clear(b.returns)
+	schedule := b.retrySchedules[service]
+	if schedule == nil {
+		if len(b.retrySchedules) >= maxServices {
+			clear(b.retrySchedules)
 		}
-		r = &returns{}
-		b.returns[service] = r
+		schedule = &retrySchedule{}
+		b.retrySchedules[service] = schedule
 	}
-	if now.Sub(r.summed) >= sumEvery {
-		r.sum, r.summed = b.sum(endpoints()), now
+	if now.Sub(schedule.summedAt) >= sumInterval {
+		schedule.rateSum, schedule.summedAt = b.sumRates(endpoints()), now
 	}
-	own := maxWait
-	if r.sum > 0 {
-		own = seconds(float64(max(1, b.cfg.Boxes())) / r.sum)
+	interval := maxWait
+	if schedule.rateSum > 0 {
+		interval = cappedSeconds(float64(max(1, b.cfg.Boxes())) / schedule.rateSum)
 	}
-	if wait := r.turns.Take(now, own, maxWait); wait+own < maxWait {
-		return max(min(soonest, maxWait), time.Millisecond) + wait
+	if wait := schedule.turns.Take(now, interval, maxWait); wait+interval < maxWait {
+		return max(min(earliest, maxWait), time.Millisecond) + wait
 	}
-	// All that can be taken in that time is promised. Of those who come at one moment not all are to return at one.
+	// All capacity within maxWait is assigned. A random wait prevents requests that were refused at the same moment from all
+	// returning together.
 	return maxWait + rand.N(maxWait)
 }
 
-// sum returns what endpoints take together.
-func (b *Book) sum(endpoints []string) float64 {
-	sum := 0.0
+// sumRates returns the number of requests per second that all the endpoints together accept.
+func (b *Book) sumRates(endpoints []string) float64 {
+	total := 0.0
 	for _, name := range endpoints {
-		if e := b.words[name]; e != nil && e.Limited {
-			sum += e.effective()
+		if e := b.entries[name]; e != nil && e.Limited {
+			total += e.effectiveRate()
 		}
 	}
-	return sum
+	return total
 }
 
-// Limit is what operators see of an endpoint that names a rate.
+// Limit is the rate limit of an endpoint as shown to operators.
 type Limit struct {
 	Endpoint string `json:"endpoint"`
-	// Rate is in requests a second, over all boxes.
+	// Rate is the limit in requests per second for all boxes together.
 	Rate float64 `json:"rate"`
-	// For is how long it has named one, Age how long ago it last did.
+	// For is the time since the endpoint began to report a limit. Age is the time since its latest report.
 	For time.Duration `json:"for"`
 	Age time.Duration `json:"age"`
 }
 
-// Limits returns the endpoints that name rates, by name.
+// Limits returns the current rate limits, sorted by endpoint.
 func (b *Book) Limits(now time.Time) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []Limit
-	for name, e := range b.words {
+	for name, e := range b.entries {
 		if e.Limited {
-			all = append(all, Limit{Endpoint: name, Rate: e.Rate, For: now.Sub(e.since), Age: now.Sub(e.at)})
+			all = append(all, Limit{Endpoint: name, Rate: e.Rate, For: now.Sub(e.limitedSince), Age: now.Sub(e.at)})
 		}
 	}
 	slices.SortFunc(all, func(a, b Limit) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -7,196 +7,210 @@
 )
 
 const (
-	// burstLeast is how many requests a limiter saves up at the least: two are left for the most urgent, the third is for others, the fourth for what is
-	// dear; without one more than others need, what becomes free while none comes is lost, a sixth of the rate at eight requests a second. For large rates
-	// it saves up for burstFor. In four seconds an endpoint then gets four times its rate and four, or 4.25 times.
-	burstLeast = 4
-	burstFor   = 250 * time.Millisecond
-	// An endpoint says nothing while it gets nothing, so what is believed of it is asked again: by requests at the rate that it names, by one every askZero
-	// if that is zero, and by one every slowest at the least.
-	askZero = 5 * time.Second
-	slowest = 30 * time.Second
-	// urgentFor is for how long after an urgent request those that are less urgent leave something free for the next. It costs no part of the rate; with 2 s
-	// nearly half of the urgent requests found nothing where one came every 2.5 s.
-	urgentFor = 30 * time.Second
-	// loneShare is the part of a rate that boxes use together while they cannot reach the box that counts: others may reach it, which gives all of it out.
-	// Their requests come by chance: with a quarter the sum stays below one and a half times the rate and five at 300 boxes, with a half it did not.
-	loneShare = 0.25
-	// idleAfter is after how long without a word of it an endpoint is taken for gone: it is asked many times in that time if it is there and wanted.
-	idleAfter = 10 * slowest
-	// loneIdle is after how long without use a box's own share begins anew.
-	loneIdle = 2 * time.Second
+	// minBurst is the minimum token capacity of a limiter. Two tokens are reserved for the most urgent requests, the third is for
+	// other requests, and the fourth is for costly requests. The capacity must be one more than other requests need: else the
+	// tokens that accrue while no request arrives are lost, which is a sixth of the rate at eight requests per second. For large
+	// rates the capacity is the rate over burstPeriod. In four seconds an endpoint thus receives at most four times its rate plus
+	// four requests, or 4.25 times its rate.
+	minBurst    = 4
+	burstPeriod = 250 * time.Millisecond
+	// An endpoint that receives no requests cannot report a new limit, so requests must continue to probe it. They are sent at
+	// the reported rate, or one per zeroRateInterval if the rate is zero, but at least one per maxProbeInterval.
+	zeroRateInterval = 5 * time.Second
+	maxProbeInterval = 30 * time.Second
+	// urgentPeriod is how long after an urgent request the less urgent ones leave tokens for the next urgent request. This does
+	// not reduce the rate that is used. With 2 s, nearly half of the urgent requests found no token when one arrived every 2.5 s.
+	urgentPeriod = 30 * time.Second
+	// ownShareTotal is the part of a rate that is divided among the boxes, for use while they cannot reach the keeper. Other
+	// boxes may still reach the keeper, which then grants the whole rate to them. The requests arrive at random times: with a
+	// quarter, the sum stays below one and a half times the rate plus five requests at 300 boxes; with a half it did not.
+	ownShareTotal = 0.25
+	// idleTimeout is the time without a report after which an endpoint is considered gone. An endpoint that is running and in
+	// demand is probed many times in this period.
+	idleTimeout = 10 * maxProbeInterval
+	// ownShareIdle is the time without use after which the tokens of a box's own share are reset.
+	ownShareIdle = 2 * time.Second
 )
 
-// Ask is one request that wants to go to an endpoint.
+// Ask describes a request that is to be sent to an endpoint.
 type Ask struct {
-	// Urgency is higher for what goes first.
+	// Urgency is higher for requests that take precedence.
 	Urgency int
-	// Customer is whose request it is, empty where that is not known.
+	// Customer owns the request. It is empty if unknown.
 	Customer string
-	// Dear says that serving it here costs more than elsewhere, as its adapter has to be brought: only what nobody else uses is for that.
+	// Dear is true if the request costs more at this endpoint than elsewhere, because its adapter must be loaded first. Such
+	// requests only use tokens that no other request needs.
 	Dear bool
-	// Lone, if positive, is the part of the rate that this box uses, as it may not be the only one that counts.
+	// Lone, if positive, is the part of the rate that this box may use because other boxes may count requests to the same
+	// endpoint.
 	Lone float64
 }
 
-// Limiter keeps to the rate of one endpoint. Its zero value knows of none and lets all pass. It does no I/O and is not safe for concurrent use.
+// Limiter enforces the rate limit of one endpoint with a token bucket. Its zero value has no limit and allows all requests. It
+// does no I/O and is not safe for concurrent use.
 type Limiter struct {
-	said heard
-	// born is the Unix millisecond of the endpoint's latest start known here: what was said before it is void.
-	born int64
-	// tokens is how many requests may go, as of at.
-	tokens float64
-	at     time.Time
-	// lone is the part of the rate that this box counts by, zero while it counts for all.
-	lone float64
-	// urgency is the highest that was asked with until a time.
-	urgency int
-	urgent  time.Time
-	shares  shares
-	refused int
-}
-
-// Hear takes in what the endpoint said, as far as it is news. A limiter opens empty: whoever counted before may just have given all out.
+	// observed is the latest report of the endpoint.
+	observed observation
+	// started is the latest known start time of the endpoint in Unix milliseconds. Reports from before that time are void.
+	started int64
+	// tokens is the number of requests that were allowed at filledAt.
+	tokens   float64
+	filledAt time.Time
+	// ownShare is the part of the rate that this box uses. It is zero while the box counts the requests of all boxes.
+	ownShare float64
+	// highestUrgency is the highest urgency among recent requests. It applies until urgentUntil.
+	highestUrgency int
+	urgentUntil    time.Time
+	shares         shares
+	refused        int
+}
+
+// Hear applies a report of the endpoint if it is newer than the previous one. A new limit starts without tokens, because the box
+// that counted the requests before may have just used all of them.
 func (l *Limiter) Hear(now time.Time, w *Word) {
 	if w == nil {
 		return
 	}
-	h := w.heard(now)
-	if h.Started < l.born || !h.newer(l.said) {
+	next := w.toObservation(now)
+	if next.Started < l.started || !next.isNewer(l.observed) {
 		return
 	}
-	if l.said.Limited && l.said.Started == h.Started {
-		l.fill(now)
+	if l.observed.Limited && l.observed.Started == next.Started {
+		l.refill(now)
 	} else {
-		l.tokens, l.at, l.refused = 0, now, 0
+		l.tokens, l.filledAt, l.refused = 0, now, 0
 	}
-	l.said = h
+	l.observed = next
 }
 
-// Born takes in when the endpoint last started, in Unix milliseconds or zero if that is not known. What it said before is void.
+// Born records the latest start time of the endpoint in Unix milliseconds, zero if unknown. Reports from before that time become
+// void.
 func (l *Limiter) Born(started int64) {
-	if started <= l.born {
+	if started <= l.started {
 		return
 	}
-	l.born = started
-	if l.said.Started < started {
+	l.started = started
+	if l.observed.Started < started {
 		l.Forget()
 	}
 }
 
-// Forget makes what the endpoint said void.
-func (l *Limiter) Forget() { *l = Limiter{born: l.born} }
+// Forget discards all state except the start time of the endpoint.
+func (l *Limiter) Forget() { *l = Limiter{started: l.started} }
 
-// Word returns what the endpoint said, nil if it names no rate.
+// Word returns the latest report of the endpoint, or nil if the endpoint has no rate limit.
 func (l *Limiter) Word(now time.Time) *Word {
-	if !l.said.Limited {
+	if !l.observed.Limited {
 		return nil
 	}
-	w := l.said.told(now)
+	w := l.observed.withAge(now)
 	return &w
 }
 
-// Limited reports whether the endpoint names a rate.
-func (l *Limiter) Limited() bool { return l.said.Limited }
+// Limited reports whether the endpoint has a rate limit.
+func (l *Limiter) Limited() bool { return l.observed.Limited }
 
-// Idle reports whether nothing is lost by forgetting the limiter.
-func (l *Limiter) Idle(now time.Time) bool {
-	return !l.said.Limited || now.Sub(l.said.at) > idleAfter
+// CanForget reports whether the limiter can be discarded because it has no limit or an outdated one.
+func (l *Limiter) CanForget(now time.Time) bool {
+	return !l.observed.Limited || now.Sub(l.observed.at) > idleTimeout
 }
 
-// Refused returns how many requests were refused since the endpoint began to name a rate.
+// Refused returns the number of refused requests since the endpoint began to report a rate limit.
 func (l *Limiter) Refused() int { return l.refused }
 
-// Check reports whether a request may go; the wait is until there will be as much as it needs. Use takes it.
+// Check reports whether a request may be sent. If it may not, wait is the time until enough tokens will be available. Check does
+// not consume a token; Use does.
 func (l *Limiter) Check(now time.Time, a Ask) (wait time.Duration, ok bool) {
-	if !l.said.Limited {
+	if !l.observed.Limited {
 		return 0, true
 	}
-	l.count(now, a.Lone)
-	l.note(now, a)
-	missing := l.needed(now, a) - l.tokens
-	if missing <= 0 {
+	l.setOwnShare(now, a.Lone)
+	l.recordRequest(now, a)
+	missingTokens := l.requiredTokens(now, a) - l.tokens
+	if missingTokens <= 0 {
 		return 0, true
 	}
 	l.refused++
-	return max(time.Millisecond, seconds(missing/l.rate())), false
+	return max(time.Millisecond, cappedSeconds(missingTokens/l.refillRate())), false
 }
 
-// Use takes what a request needs that Check let pass.
+// Use consumes a token for a request that Check has allowed.
 func (l *Limiter) Use(now time.Time, customer string) {
-	if l.said.Limited {
+	if l.observed.Limited {
 		l.tokens--
-		l.shares.used(now, customer)
+		l.shares.recordUse(now, customer)
 	}
 }
 
-// GiveBack returns what was taken for a request that was not sent.
+// GiveBack returns the token of a request that was not sent.
 func (l *Limiter) GiveBack() {
-	if l.said.Limited {
-		l.tokens = min(l.tokens+1, l.most())
+	if l.observed.Limited {
+		l.tokens = min(l.tokens+1, l.capacity())
 	}
 }
 
-// count goes over between the whole rate and a part of it, and adds what has become free.
-func (l *Limiter) count(now time.Time, lone float64) {
-	l.fill(now)
+// setOwnShare adds the tokens that are due and switches between the whole rate (zero) and a part of it.
+func (l *Limiter) setOwnShare(now time.Time, ownShare float64) {
+	l.refill(now)
 	switch {
-	case lone > 0 && (l.lone == 0 || now.Sub(l.at) > loneIdle):
-		// Boxes that begin to count alone do so at the same moment: any part of a request, so that theirs come one after the other.
+	case ownShare > 0 && (l.ownShare == 0 || now.Sub(l.filledAt) > ownShareIdle):
+		// All boxes switch to their own shares at the same moment. A random part of a token spreads their first requests over
+		// time.
 		l.tokens = rand.Float64()
-	case lone == 0 && l.lone > 0:
+	case ownShare == 0 && l.ownShare > 0:
 		l.tokens = 0
 	}
-	l.lone, l.at = lone, now
+	l.ownShare, l.filledAt = ownShare, now
 }
 
-// fill adds what has become free by now.
-func (l *Limiter) fill(now time.Time) {
-	if elapsed := now.Sub(l.at); elapsed > 0 && (l.lone == 0 || elapsed <= loneIdle) {
-		l.tokens += l.rate() * elapsed.Seconds()
-		l.at = now
+// refill adds the tokens that have accrued since filledAt.
+func (l *Limiter) refill(now time.Time) {
+	if elapsed := now.Sub(l.filledAt); elapsed > 0 && (l.ownShare == 0 || elapsed <= ownShareIdle) {
+		l.tokens += l.refillRate() * elapsed.Seconds()
+		l.filledAt = now
 	}
-	l.tokens = min(l.tokens, l.most())
+	l.tokens = min(l.tokens, l.capacity())
 }
 
-// rate returns the requests a second that may go.
-func (l *Limiter) rate() float64 {
-	rate := l.said.effective()
-	if l.lone > 0 {
-		rate *= l.lone
+// refillRate returns the number of requests per second that this limiter allows.
+func (l *Limiter) refillRate() float64 {
+	rate := l.observed.effectiveRate()
+	if l.ownShare > 0 {
+		rate *= l.ownShare
 	}
 	return rate
 }
 
-// most returns how many requests are saved up.
-func (l *Limiter) most() float64 {
-	if l.lone > 0 || l.said.Rate == 0 {
+// capacity returns the maximum number of tokens.
+func (l *Limiter) capacity() float64 {
+	if l.ownShare > 0 || l.observed.Rate == 0 {
 		return 1
 	}
-	return max(burstLeast, l.said.Rate*burstFor.Seconds())
+	return max(minBurst, l.observed.Rate*burstPeriod.Seconds())
 }
 
-// note takes in that a request came.
-func (l *Limiter) note(now time.Time, a Ask) {
-	if a.Urgency >= l.urgency || !now.Before(l.urgent) {
-		l.urgency, l.urgent = a.Urgency, now.Add(urgentFor)
+// recordRequest records the urgency and the customer of a new request.
+func (l *Limiter) recordRequest(now time.Time, a Ask) {
+	if a.Urgency >= l.highestUrgency || !now.Before(l.urgentUntil) {
+		l.highestUrgency, l.urgentUntil = a.Urgency, now.Add(urgentPeriod)
 	}
-	l.shares.asked(now, a.Customer)
+	l.shares.recordDemand(now, a.Customer)
 }
 
-// needed returns how many requests have to be free for one to go: all that is saved up for one that is dear, all but one where others go before.
-func (l *Limiter) needed(now time.Time, a Ask) float64 {
+// requiredTokens returns the number of tokens that must be available before a request may be sent. A costly request requires the
+// full capacity. A request requires one token less if urgent requests or other customers take precedence over it.
+func (l *Limiter) requiredTokens(now time.Time, a Ask) float64 {
 	switch {
 	case a.Dear:
-		return l.most()
-	case a.Urgency < l.urgency || l.shares.over(now, a.Customer):
-		return max(1, l.most()-1)
+		return l.capacity()
+	case a.Urgency < l.highestUrgency || l.shares.isOverShare(now, a.Customer):
+		return max(1, l.capacity()-1)
 	default:
 		return 1
 	}
 }
 
-func seconds(s float64) time.Duration {
+// cappedSeconds converts seconds to a duration of at most maxWait.
+func cappedSeconds(s float64) time.Duration {
 	return time.Duration(math.Min(s, maxWait.Seconds()) * float64(time.Second))
 }
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -12,24 +12,28 @@
 	"pgregory.net/rapid"
 )
 
-// base is the virtual start of time.
+// base is the start time of each simulation.
 var base = time.Unix(1_800_000_000, 0)
 
 const (
-	// window, excess and margin are the users' bound: in no such time more than so many times what the rate allows, and some more.
-	window = 4 * time.Second
-	excess = 1.5
-	margin = 5
+	// The users require that an endpoint receives in no window more than excessFactor times the requests that its rate allows,
+	// plus margin.
+	window       = 4 * time.Second
+	excessFactor = 1.5
+	margin       = 5
 )
 
-func allowed(rate float64) int { return int(math.Floor(excess*rate*window.Seconds() + margin)) }
+// allowedPerWindow returns the largest number of requests that an endpoint with the rate may receive in a window.
+func allowedPerWindow(rate float64) int {
+	return int(math.Floor(excessFactor*rate*window.Seconds() + margin))
+}
 
-// most returns the largest number of times that lie within a window.
-func most(all []time.Time) int {
-	slices.SortFunc(all, time.Time.Compare)
+// maxPerWindow returns the largest number of times that lie within one window.
+func maxPerWindow(times []time.Time) int {
+	slices.SortFunc(times, time.Time.Compare)
 	n, first := 0, 0
-	for i, at := range all {
-		for at.Sub(all[first]) >= window {
+	for i, at := range times {
+		for at.Sub(times[first]) >= window {
 			first++
 		}
 		n = max(n, i-first+1)
@@ -37,12 +41,12 @@
 	return n
 }
 
-func named(rate float64, started int64) *Word {
+func limitedWord(rate float64, started int64) *Word {
 	return &Word{Limited: true, Rate: rate, Started: started}
 }
 
-// take asks and takes.
-func take(l *Limiter, now time.Time, a Ask) bool {
+// tryUse checks whether a request is allowed, and consumes a token if it is.
+func tryUse(l *Limiter, now time.Time, a Ask) bool {
 	_, ok := l.Check(now, a)
 	if ok {
 		l.Use(now, a.Customer)
@@ -50,7 +54,7 @@
 	return ok
 }
 
-func TestLimiterGivesOutTheWholeRate(t *testing.T) {
+func TestLimiterUsesTheWholeRate(t *testing.T) {
 	for _, test := range []struct {
 		rate, demand float64
 	}{{0.05, 50}, {0.3, 50}, {1, 50}, {1.9, 50}, {1.9, 2.5}, {5, 50}, {40, 200}, {0.3, 1}} {
@@ -58,205 +62,211 @@
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := &Limiter{}
-			l.Hear(base, named(test.rate, 0))
-			var went []time.Time
+			l.Hear(base, limitedWord(test.rate, 0))
+			var sentAt []time.Time
 			end := base.Add(200 * time.Second)
 			for now := base; now.Before(end); {
 				now = now.Add(time.Duration(rng.ExpFloat64() / test.demand * float64(time.Second)))
-				if take(l, now, Ask{}) {
-					went = append(went, now)
+				if tryUse(l, now, Ask{}) {
+					sentAt = append(sentAt, now)
 				}
 			}
-			used := float64(len(went)) / end.Sub(base).Seconds()
-			c.Logf("%.2f a second used, at most %d in %v of %d allowed", used, most(went), window, allowed(test.rate))
-			c.Check(most(went) <= allowed(test.rate), qt.IsTrue)
-			c.Check(used >= 0.9*test.rate, qt.IsTrue, qt.Commentf("%.3f", used))
+			usedRate := float64(len(sentAt)) / end.Sub(base).Seconds()
+			c.Logf("used %.2f requests per second, at most %d in %v of %d allowed", usedRate, maxPerWindow(sentAt), window, allowedPerWindow(test.rate))
+			c.Check(maxPerWindow(sentAt) <= allowedPerWindow(test.rate), qt.IsTrue)
+			c.Check(usedRate >= 0.9*test.rate, qt.IsTrue, qt.Commentf("%.3f", usedRate))
 		})
 	}
 }
 
-func TestLimiterHears(t *testing.T) {
+func TestLimiterKeepsLatestWord(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
 	for range 1000 {
-		c.Assert(take(l, base, Ask{}), qt.IsTrue)
+		c.Assert(tryUse(l, base, Ask{}), qt.IsTrue)
 	}
-	l.Hear(base, named(1, 7))
-	c.Check(take(l, base, Ask{}), qt.IsFalse, qt.Commentf("a new count opens empty"))
+	l.Hear(base, limitedWord(1, 7))
+	c.Check(tryUse(l, base, Ask{}), qt.IsFalse, qt.Commentf("a new limit starts without tokens"))
 	now := base.Add(10 * time.Second)
-	c.Check(take(l, now, Ask{}), qt.IsTrue)
+	c.Check(tryUse(l, now, Ask{}), qt.IsTrue)
 	l.Hear(now, &Word{Started: 7, Age: time.Minute})
-	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("an older word that there is no rate changes nothing"))
+	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("an older report without a limit is ignored"))
 	l.Hear(now, &Word{Started: 6})
-	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("nor does one of a former life"))
+	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("a report from before the endpoint's restart is ignored"))
 	l.Hear(now, &Word{Started: 7})
 	c.Check(l.Limited(), qt.IsFalse)
-	l.Hear(now.Add(time.Second), named(1, 7))
-	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("it comes back"))
+	l.Hear(now.Add(time.Second), limitedWord(1, 7))
+	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("the endpoint reports a limit again"))
 	l.Born(8)
-	c.Check(l.Limited(), qt.IsFalse, qt.Commentf("one that starts again has named none"))
-	l.Hear(now.Add(2*time.Second), named(1, 7))
-	c.Check(l.Limited(), qt.IsFalse, qt.Commentf("what the former life said comes late"))
-	l.Hear(now.Add(2*time.Second), named(1, 8))
+	c.Check(l.Limited(), qt.IsFalse, qt.Commentf("a restarted endpoint has not reported a limit"))
+	l.Hear(now.Add(2*time.Second), limitedWord(1, 7))
+	c.Check(l.Limited(), qt.IsFalse, qt.Commentf("a late report from before the restart is ignored"))
+	l.Hear(now.Add(2*time.Second), limitedWord(1, 8))
 	c.Check(l.Limited(), qt.IsTrue)
 }
 
-func TestLimiterOfZeroAsksAgain(t *testing.T) {
+func TestZeroRateIsProbed(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
-	l.Hear(base, named(0, 0))
-	went := 0
-	for now := base; now.Before(base.Add(10 * askZero)); now = now.Add(100 * time.Millisecond) {
-		if take(l, now, Ask{Urgency: rand.IntN(3), Dear: rand.IntN(2) == 0}) {
-			went++
+	l.Hear(base, limitedWord(0, 0))
+	sent := 0
+	for now := base; now.Before(base.Add(10 * zeroRateInterval)); now = now.Add(100 * time.Millisecond) {
+		if tryUse(l, now, Ask{Urgency: rand.IntN(3), Dear: rand.IntN(2) == 0}) {
+			sent++
 		}
 	}
-	c.Check(went >= 9 && went <= 10, qt.IsTrue, qt.Commentf("%d", went))
+	c.Check(sent >= 9 && sent <= 10, qt.IsTrue, qt.Commentf("%d", sent))
 }
 
-// TestLimiterGoesByUrgency: the pattern is a service all of whose endpoints name rates: of eight requests a second, urgent and not, two can go.
-func TestLimiterGoesByUrgency(t *testing.T) {
+// TestLimiterPrefersUrgentRequests models a service whose endpoints all have rate limits. Of eight requests per second, urgent
+// and other ones, two can be sent.
+func TestLimiterPrefersUrgentRequests(t *testing.T) {
 	for _, test := range []struct {
-		// urgent is the part of the requests that is, atLeast the part of these that has to go: while they use a fifth of the rate nearly all, while
-		// they use most of it several times as large a part as of the others.
+		// urgent is the share of urgent requests. atLeast is the share of these that must be sent, and timesOthers the minimum
+		// ratio of this share to that of the other requests. While urgent requests use a fifth of the rate, nearly all must be
+		// sent. While they use most of the rate, the ratio must still be several times.
 		urgent, atLeast, timesOthers float64
 	}{{0.05, 0.95, 4}, {0.2, 0.5, 4}} {
 		t.Run(fmt.Sprint(test.urgent), func(t *testing.T) {
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := &Limiter{}
-			l.Hear(base, named(2, 0))
-			asked, went := map[int]float64{}, map[int]float64{}
+			l.Hear(base, limitedWord(2, 0))
+			total, sent := map[int]float64{}, map[int]float64{}
 			for now := base; now.Before(base.Add(200 * time.Second)); {
 				now = now.Add(time.Duration(rng.ExpFloat64() / 8 * float64(time.Second)))
 				urgency := 1
 				if rng.Float64() < test.urgent {
 					urgency = 9
 				}
-				asked[urgency]++
-				if take(l, now, Ask{Urgency: urgency}) {
-					went[urgency]++
+				total[urgency]++
+				if tryUse(l, now, Ask{Urgency: urgency}) {
+					sent[urgency]++
 				}
 			}
-			c.Logf("urgent %v of %v, others %v of %v", went[9], asked[9], went[1], asked[1])
-			c.Check(went[9]/asked[9] >= test.atLeast, qt.IsTrue)
-			c.Check(went[9]/asked[9] >= test.timesOthers*went[1]/asked[1], qt.IsTrue)
-			c.Check(went[9]+went[1] >= 0.9*2*200, qt.IsTrue)
+			c.Logf("urgent %v of %v, others %v of %v", sent[9], total[9], sent[1], total[1])
+			c.Check(sent[9]/total[9] >= test.atLeast, qt.IsTrue)
+			c.Check(sent[9]/total[9] >= test.timesOthers*sent[1]/total[1], qt.IsTrue)
+			c.Check(sent[9]+sent[1] >= 0.9*2*200, qt.IsTrue)
 		})
 	}
 }
 
-// TestLimiterIsFair: one customer sends ten times as much as each of three others.
+// TestLimiterIsFair models one customer that sends ten times as many requests as each of three others.
 func TestLimiterIsFair(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	l := &Limiter{}
-	l.Hear(base, named(4, 0))
-	went := map[string]int{}
+	l.Hear(base, limitedWord(4, 0))
+	sent := map[string]int{}
 	for now := base; now.Before(base.Add(100 * time.Second)); {
 		now = now.Add(time.Duration(rng.ExpFloat64() / 26 * float64(time.Second)))
 		customer := "large"
 		if n := rng.IntN(13); n < 3 {
 			customer = fmt.Sprint("small-", n)
 		}
-		if take(l, now, Ask{Customer: customer}) {
-			went[customer]++
+		if tryUse(l, now, Ask{Customer: customer}) {
+			sent[customer]++
 		}
 	}
-	c.Logf("%v", went)
+	c.Logf("%v", sent)
 	for n := range 3 {
-		c.Check(went[fmt.Sprint("small-", n)] >= 80, qt.IsTrue)
+		c.Check(sent[fmt.Sprint("small-", n)] >= 80, qt.IsTrue)
 	}
-	c.Check(went["large"] >= 80, qt.IsTrue)
+	c.Check(sent["large"] >= 80, qt.IsTrue)
 }
 
-// TestDearRequestsGetWhatIsLeft: an adapter is brought to an endpoint in need only for what others leave.
-func TestDearRequestsGetWhatIsLeft(t *testing.T) {
+// TestCostlyRequestsGetUnusedRate checks that requests whose adapter must first be loaded to a limited endpoint only use the rate
+// that other requests leave.
+func TestCostlyRequestsGetUnusedRate(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
-	l.Hear(base, named(1, 0))
-	dear := 0
+	l.Hear(base, limitedWord(1, 0))
+	costly := 0
 	for now := base; now.Before(base.Add(60 * time.Second)); now = now.Add(200 * time.Millisecond) {
-		if take(l, now, Ask{Dear: true}) {
-			dear++
+		if tryUse(l, now, Ask{Dear: true}) {
+			costly++
 		}
-		take(l, now, Ask{})
+		tryUse(l, now, Ask{})
 	}
-	c.Check(dear, qt.Equals, 0)
+	c.Check(costly, qt.Equals, 0)
 	for now := base.Add(60 * time.Second); now.Before(base.Add(120 * time.Second)); now = now.Add(200 * time.Millisecond) {
-		if take(l, now, Ask{Dear: true}) {
-			dear++
+		if tryUse(l, now, Ask{Dear: true}) {
+			costly++
 		}
 	}
-	c.Check(dear >= 50, qt.IsTrue, qt.Commentf("%d of what nobody else uses", dear))
+	c.Check(costly >= 50, qt.IsTrue, qt.Commentf("%d costly requests sent while no others arrive", costly))
 }
 
-// TestBoxesThatCountAlone: the box that counts cannot be asked, by some boxes or by all, while it goes on giving out the rate to those that reach it.
-func TestBoxesThatCountAlone(t *testing.T) {
+// TestBoxesUseOwnShares models a keeper that some or all boxes cannot reach, while it grants the whole rate to the boxes that do
+// reach it.
+func TestBoxesUseOwnShares(t *testing.T) {
 	for _, test := range []struct {
 		boxes int
 		rate  float64
-		// counts says that the one that counts goes on.
-		counts bool
+		// keeperRuns is true if the keeper still grants requests of other boxes.
+		keeperRuns bool
 	}{{7, 1.9, true}, {7, 1.9, false}, {7, 0.3, true}, {300, 1.9, true}, {300, 30, true}, {300, 30, false}} {
 		t.Run(fmt.Sprint(test), func(t *testing.T) {
 			c := qt.New(t)
-			counter, alone := &Limiter{}, make([]Limiter, test.boxes-1)
-			counter.Hear(base, named(test.rate, 0))
-			for i := range alone {
-				alone[i].Hear(base, named(test.rate, 0))
+			keeper, others := &Limiter{}, make([]Limiter, test.boxes-1)
+			keeper.Hear(base, limitedWord(test.rate, 0))
+			for i := range others {
+				others[i].Hear(base, limitedWord(test.rate, 0))
 			}
-			var went []time.Time
-			lone := 0
+			var sentAt []time.Time
+			fromOwnShares := 0
 			for now := base; now.Before(base.Add(60 * time.Second)); now = now.Add(20 * time.Millisecond) {
-				if test.counts && take(counter, now, Ask{}) {
-					went = append(went, now)
+				if test.keeperRuns && tryUse(keeper, now, Ask{}) {
+					sentAt = append(sentAt, now)
 				}
-				for i := range alone {
-					if take(&alone[i], now, Ask{Lone: loneShare / float64(test.boxes)}) {
-						went = append(went, now)
-						lone++
+				for i := range others {
+					if tryUse(&others[i], now, Ask{Lone: ownShareTotal / float64(test.boxes)}) {
+						sentAt = append(sentAt, now)
+						fromOwnShares++
 					}
 				}
 			}
-			c.Logf("at most %d in %v of %d allowed, %d by those that count alone", most(went), window, allowed(test.rate), lone)
-			c.Check(most(went) <= allowed(test.rate), qt.IsTrue)
-			expected := loneShare * test.rate * 60
-			c.Check(float64(lone) >= expected-3*math.Sqrt(expected), qt.IsTrue, qt.Commentf("%d", lone))
+			c.Logf("at most %d in %v of %d allowed, %d from own shares", maxPerWindow(sentAt), window, allowedPerWindow(test.rate), fromOwnShares)
+			c.Check(maxPerWindow(sentAt) <= allowedPerWindow(test.rate), qt.IsTrue)
+			expected := ownShareTotal * test.rate * 60
+			c.Check(float64(fromOwnShares) >= expected-3*math.Sqrt(expected), qt.IsTrue, qt.Commentf("%d", fromOwnShares))
 		})
 	}
 }
 
-// TestCountMovesFromBoxToBox: whoever counts is lost now and then, whoever counts next knows the rate from the first ask, and boxes count alone between.
-func TestCountMovesFromBoxToBox(t *testing.T) {
+// TestRateHoldsWhenKeeperChanges models the repeated loss of the keeper. The boxes use their own shares until the next keeper
+// starts, which learns the rate from the first request.
+func TestRateHoldsWhenKeeperChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.05, 20).Draw(t, "rate")
 		boxes := rapid.IntRange(2, 40).Draw(t, "boxes")
-		word := named(rate, 0)
-		counter, alone := &Limiter{}, make([]Limiter, boxes)
-		counter.Hear(base, word)
-		var went []time.Time
+		word := limitedWord(rate, 0)
+		keeper, others := &Limiter{}, make([]Limiter, boxes)
+		keeper.Hear(base, word)
+		var sentAt []time.Time
 		now := base
 		for range rapid.IntRange(1, 12).Draw(t, "losses") {
-			// A count lasts for some seconds: boxes that come and go more often do not stay in the map.
-			for until := now.Add(time.Duration(rapid.IntRange(4000, 20000).Draw(t, "count ms")) * time.Millisecond); now.Before(until); now = now.Add(50 * time.Millisecond) {
-				if take(counter, now, Ask{}) {
-					went = append(went, now)
+			// A keeper keeps its role for at least some seconds: boxes that come and go more often are removed from the map of
+			// boxes.
+			for until := now.Add(time.Duration(rapid.IntRange(4000, 20000).Draw(t, "keeper ms")) * time.Millisecond); now.Before(until); now = now.Add(50 * time.Millisecond) {
+				if tryUse(keeper, now, Ask{}) {
+					sentAt = append(sentAt, now)
 				}
 			}
 			for until := now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap ms")) * time.Millisecond); now.Before(until); now = now.Add(50 * time.Millisecond) {
-				for i := range alone {
-					alone[i].Hear(now, word)
-					if take(&alone[i], now, Ask{Lone: loneShare / float64(boxes)}) {
-						went = append(went, now)
+				for i := range others {
+					others[i].Hear(now, word)
+					if tryUse(&others[i], now, Ask{Lone: ownShareTotal / float64(boxes)}) {
+						sentAt = append(sentAt, now)
 					}
 				}
 			}
-			counter = &Limiter{}
-			counter.Hear(now, word)
+			keeper = &Limiter{}
+			keeper.Hear(now, word)
 		}
-		if most(went) > allowed(rate) {
-			t.Fatalf("%d in %v, allowed %d", most(went), window, allowed(rate))
+		if maxPerWindow(sentAt) > allowedPerWindow(rate) {
+			t.Fatalf("%d requests in %v, allowed %d", maxPerWindow(sentAt), window, allowedPerWindow(rate))
 		}
 	})
 }
@@ -292,10 +302,10 @@
 
 func BenchmarkLimiter(b *testing.B) {
 	l := &Limiter{}
-	l.Hear(base, named(1.9, 0))
+	l.Hear(base, limitedWord(1.9, 0))
 	now := base
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		take(l, now, Ask{Customer: "one"})
+		tryUse(l, now, Ask{Customer: "one"})
 	}
 }
--- a/internal/ratelimit/shares.go
+++ b/internal/ratelimit/shares.go
@@ -6,66 +6,69 @@
 )
 
 const (
-	// shareHalf is the time in which what a customer used halves.
-	shareHalf = 4 * time.Second
-	// askedFor is for how long a customer that asked counts among those that share a rate.
-	askedFor = 2 * time.Second
-	// maxCustomers bounds the customers that are told apart at one endpoint.
+	// usageHalfLife is the half-life of the recorded use of a customer.
+	usageHalfLife = 4 * time.Second
+	// demandPeriod is how long a customer counts as one of those that share a rate after its latest request.
+	demandPeriod = 2 * time.Second
+	// maxCustomers limits the customers that are tracked for one endpoint. When it is reached, the records of all customers are
+	// discarded.
 	maxCustomers = 128
-	// overBy is how much more than an equal part a customer may have used before others go first.
-	overBy = 0.5
+	// overuseMargin is the number of requests by which a customer may exceed an equal share before others take precedence.
+	overuseMargin = 0.5
 )
 
-// shares is what customers used of one endpoint's rate.
+// shares tracks how much of one endpoint's rate each customer has used.
 type shares struct {
 	customers map[string]*share
 }
 
+// share is the use of a rate by one customer.
 type share struct {
-	// used is a decayed count as of at.
-	used  float64
-	at    time.Time
-	asked time.Time
+	// used is the number of requests that were sent, with exponential decay up to usedAt.
+	used        float64
+	usedAt      time.Time
+	requestedAt time.Time
 }
 
-func (s *share) decayed(now time.Time) float64 {
-	return s.used * math.Exp2(-float64(now.Sub(s.at))/float64(shareHalf))
+// decayedUse returns the recorded use with its decay up to now.
+func (s *share) decayedUse(now time.Time) float64 {
+	return s.used * math.Exp2(-float64(now.Sub(s.usedAt))/float64(usageHalfLife))
 }
 
-// asked notes that a customer wants a part.
-func (s *shares) asked(now time.Time, customer string) {
+// recordDemand records that a customer has requested a part of the rate.
+func (s *shares) recordDemand(now time.Time, customer string) {
 	if customer == "" {
 		return
 	}
 	if c := s.customers[customer]; c != nil {
-		c.asked = now
+		c.requestedAt = now
 		return
 	}
 	if s.customers == nil || len(s.customers) >= maxCustomers {
 		s.customers = map[string]*share{}
 	}
-	s.customers[customer] = &share{asked: now, at: now}
+	s.customers[customer] = &share{requestedAt: now, usedAt: now}
 }
 
-// used notes that a customer's request goes.
-func (s *shares) used(now time.Time, customer string) {
+// recordUse records that a request of a customer is sent.
+func (s *shares) recordUse(now time.Time, customer string) {
 	if c := s.customers[customer]; c != nil {
-		c.used, c.at = c.decayed(now)+1, now
+		c.used, c.usedAt = c.decayedUse(now)+1, now
 	}
 }
 
-// over reports whether a customer has used more than an equal part among those that want one.
-func (s *shares) over(now time.Time, customer string) bool {
+// isOverShare reports whether a customer has used more than an equal share of the use by all customers with recent requests.
+func (s *shares) isOverShare(now time.Time, customer string) bool {
 	c := s.customers[customer]
 	if c == nil {
 		return false
 	}
 	sum, n := 0.0, 0
 	for _, other := range s.customers {
-		if now.Sub(other.asked) <= askedFor {
-			sum += other.decayed(now)
+		if now.Sub(other.requestedAt) <= demandPeriod {
+			sum += other.decayedUse(now)
 			n++
 		}
 	}
-	return n > 1 && c.decayed(now) > sum/float64(n)+overBy
+	return n > 1 && c.decayedUse(now) > sum/float64(n)+overuseMargin
 }
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -1,4 +1,6 @@
-// Package ratelimit keeps to what endpoints say of how many requests a second they take from all boxes together.
+// Package ratelimit enforces the rate limits that endpoints report. A rate limit is the number of requests per second that an
+// endpoint accepts from all boxes together. The keeper of an endpoint is the box that counts the requests of all boxes to it. For
+// an engine, its owner is the keeper.
 package ratelimit
 
 import (
@@ -10,34 +12,35 @@
 	"github.com/rotisserie/eris"
 )
 
-// Word is what an endpoint has said, last, of how many requests a second it takes from all boxes together.
+// Word is a report of the rate limit of an endpoint, which applies to the requests from all boxes together.
 type Word struct {
-	// Limited says that it named a rate; else it answered without one.
+	// Limited is true if the endpoint reported a rate limit, and false if it sent a response without one.
 	Limited bool `json:"limited,omitempty"`
-	// Rate is in requests a second. Zero: it takes none.
+	// Rate is the limit in requests per second. Zero means that the endpoint accepts no requests.
 	Rate float64 `json:"rate,omitempty"`
-	// Started is the Unix millisecond of the endpoint's start, zero if it does not say: one that starts again has named nothing.
+	// Started is the start time of the endpoint in Unix milliseconds, zero if unknown. A limit is void after a restart of the
+	// endpoint.
 	Started int64 `json:"started,omitempty"`
-	// Age is how long ago it said so, for boxes that are told.
+	// Age is the time since the endpoint sent the report. It is set in messages between boxes.
 	Age time.Duration `json:"age,omitempty"`
 }
 
-// effective returns the requests a second that are sent.
-func (w Word) effective() float64 {
+// effectiveRate returns the number of requests per second to send. It is never zero, so that each limit is probed again.
+func (w Word) effectiveRate() float64 {
 	if w.Rate == 0 {
-		return 1 / askZero.Seconds()
+		return 1 / zeroRateInterval.Seconds()
 	}
-	return max(w.Rate, 1/slowest.Seconds())
+	return max(w.Rate, 1/maxProbeInterval.Seconds())
 }
 
-// heard returns a word as of now on this box's clock.
-func (w Word) heard(now time.Time) heard {
-	h := heard{Word: w, at: now.Add(-w.Age)}
-	h.Age = 0
-	return h
+// toObservation replaces the age of a report with a time on this box's clock.
+func (w Word) toObservation(now time.Time) observation {
+	o := observation{Word: w, at: now.Add(-w.Age)}
+	o.Age = 0
+	return o
 }
 
-// Named reads the rate that the values of a header name; without values that is none. One that cannot be read is an error.
+// Named parses the rate limit from the values of a header. Without values the result has no limit. An invalid rate is an error.
 func Named(values []string) (Word, error) {
 	if len(values) == 0 {
 		return Word{}, nil
@@ -49,11 +52,11 @@
 	return Word{Limited: true, Rate: rate}, nil
 }
 
-// Parse reads a rate in requests a second. One that is no number, or negative or infinite, is none.
+// Parse parses a rate in requests per second. The rate must be a finite number and must not be negative.
 func Parse(text string) (float64, error) {
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
-		return 0, eris.Errorf("ratelimit: %q is no rate", text)
+		return 0, eris.Errorf("ratelimit: invalid rate %q", text)
 	}
 	return rate, nil
 }
