--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -15,315 +15,336 @@
 )
 
 const (
-	// maxEndpoints bounds the endpoints of each kind that a Board remembers, at some 150 bytes each; beyond it what was heard first is dropped.
+	// maxEndpoints bounds the leaving endpoints and, separately, the paused endpoints that a Board stores, at about 150 bytes
+	// each. Beyond the bound the oldest entry is dropped.
 	maxEndpoints = 2048
-	// mostLines is how many lines a second tell of what endpoints say: all of a large fleet may say something at once.
-	mostLines = 20
-	// ignoredEvery is the least time between two lines on words of an endpoint that cannot be understood.
-	ignoredEvery = 10 * time.Second
-	// keepLeft is how long it is remembered that an endpoint leaves: they end within a minute, but their entries may outlast them while the store is away.
-	keepLeft = time.Hour
-	// trialTime is how long a request to an endpoint whose rest is over may be without an answer before another one is sent: requests by the dozen have
-	// waited for that moment, and the first tells whether it takes more.
-	trialTime = time.Second
-	// keepTrial is how long after its rest an endpoint gets one request at a time, if none goes there: it says nothing while it gets nothing.
-	keepTrial = 30 * time.Second
-	// keepReused is how long it is where the next life cannot be told from this one: then one request finds out.
-	keepReused = 30 * time.Second
+	// maxLogLines bounds the log lines per second about endpoints: all endpoints of a large fleet may send a notice at the same
+	// moment.
+	maxLogLines = 20
+	// invalidLogInterval is the minimum time between two log lines about invalid headers of the same endpoint.
+	invalidLogInterval = 10 * time.Second
+	// leavingRetention is how long a Board stores that an endpoint is leaving. Endpoints end within a minute, but their entries
+	// in the store may outlast them while the store is unavailable.
+	leavingRetention = time.Hour
+	// probeTimeout is how long the first request to an endpoint after its pause may be unanswered before a second request is
+	// sent. Dozens of requests may be waiting for the end of the pause, and the answer to the first shows whether the endpoint
+	// accepts more.
+	probeTimeout = time.Second
+	// probeRetention is how long after its pause an endpoint stays limited to one request at a time if no request is sent to it:
+	// without requests there are no answers that could end the limit.
+	probeRetention = 30 * time.Second
+	// reusedNameRetention replaces leavingRetention for endpoints whose incarnations cannot be distinguished. After it, one
+	// request finds out whether the endpoint is still leaving.
+	reusedNameRetention = 30 * time.Second
 )
 
-// Endpoint is one life of an endpoint.
+// Endpoint identifies one incarnation of an endpoint, from its start to its end.
 type Endpoint struct {
 	Name string
-	// Started is the Unix millisecond of its start, zero if it does not say: then a later life has another name, unless Reused is set.
+	// Started is the start time in Unix milliseconds, or zero if unknown. If it is zero, a later incarnation has another name,
+	// unless Reused is set.
 	Started int64
-	// Reused says that nothing tells its lives apart.
+	// Reused reports that a later incarnation may have the same name and that nothing distinguishes the two.
 	Reused bool
 }
 
-// Left is that an endpoint said it leaves, as boxes tell each other.
+// Left is the report that an endpoint is leaving, in the form that boxes send to each other.
 type Left struct {
-	Endpoint string `json:"endpoint"`
-	Started  int64  `json:"started,omitempty"`
-	Reused   bool   `json:"reused,omitempty"`
-	// Age is how long ago it was first heard.
+	Endpoint   string `json:"endpoint"`
+	Started    int64  `json:"started,omitempty"`
+	NameReused bool   `json:"reused,omitempty"`
+	// Age is the time since the endpoint first announced that it is leaving.
 	Age time.Duration `json:"age"`
 }
 
 // BoardConfig configures a Board.
 type BoardConfig struct {
 	Scope tally.Scope
-	// Leaves, if set, is called once it is known of a life of an endpoint that it leaves. Heard says that the endpoint told this box itself.
-	Leaves func(e Endpoint, heard bool)
+	// Leaves, if set, is called for each new report that an endpoint is leaving. The argument direct is true if the endpoint
+	// itself announced it to this box and false if another box reported it.
+	Leaves func(e Endpoint, direct bool)
 }
 
-// Board is what one box knows endpoints to have said of themselves. A nil Board knows nothing.
+// Board stores which endpoints are leaving and which have requested a pause, as known to one box. A nil Board has no entries and
+// records none.
 type Board struct {
 	cfg BoardConfig
-	// ignored are the endpoints that lately said what cannot be understood.
-	ignored *recent.Set[string]
-	// count is how many endpoints are remembered: with none, as on most days, a look costs no lock.
-	count atomic.Int64
-
-	mu    sync.Mutex
-	lines logline.Limit
-	// left are the endpoints that said they leave, rests those that asked for rest.
-	left  map[string]leaving
-	rests map[string]resting
+	// recentlyInvalid holds the endpoints whose invalid headers were logged within invalidLogInterval.
+	recentlyInvalid *recent.Set[string]
+	// entryCount is the number of entries in leaving and paused. While it is zero, the usual case, lookups take no lock.
+	entryCount atomic.Int64
+
+	mu       sync.Mutex
+	logLimit logline.Limit
+	// leaving holds the endpoints that are leaving and paused the endpoints that requested a pause, both by name.
+	leaving map[string]leavingEntry
+	paused  map[string]pausedEntry
 }
 
-// leaving is that an endpoint leaves. It is final: nothing that discovery or a later answer says takes it back, only another life is not bound by it.
-type leaving struct {
-	started int64
-	reused  bool
-	at      time.Time
+// leavingEntry records that an endpoint is leaving. The state is final for an incarnation: neither discovery nor a later answer
+// reverts it. It does not apply to later incarnations.
+type leavingEntry struct {
+	started    int64
+	nameReused bool
+	reportedAt time.Time
 }
 
-// over reports whether this is to be forgotten.
-func (l leaving) over(now time.Time) bool {
-	keep := keepLeft
-	if l.reused {
-		keep = keepReused
+// isExpired reports whether the retention time of the entry is over.
+func (l leavingEntry) isExpired(now time.Time) bool {
+	keep := leavingRetention
+	if l.nameReused {
+		keep = reusedNameRetention
 	}
-	return now.Sub(l.at) >= keep
+	return now.Sub(l.reportedAt) >= keep
 }
 
-// resting is that an endpoint wants nothing from this box for a time. After that it is on trial: it gets one request at a time until one is answered.
-type resting struct {
+// pausedEntry records that an endpoint requested a pause: it gets no requests from this box for a time. After the pause it gets
+// one request at a time, as a probe, until it answers one.
+type pausedEntry struct {
 	started int64
 	until   time.Time
-	// trial is until when a request that was sent after the rest is waited for.
-	trial time.Time
+	// probeDeadline is the time until which no further request is sent while the last probe is unanswered.
+	probeDeadline time.Time
 }
 
-// wait returns how long nothing more is to be sent.
-func (r resting) wait(now time.Time) time.Duration {
+// remainingWait returns how long no further request may be sent.
+func (r pausedEntry) remainingWait(now time.Time) time.Duration {
 	if now.Before(r.until) {
 		return r.until.Sub(now)
 	}
-	return max(0, r.trial.Sub(now))
+	return max(0, r.probeDeadline.Sub(now))
 }
 
-// over reports whether this is to be forgotten.
-func (r resting) over(now time.Time) bool { return now.Sub(r.until) >= keepTrial }
+// isExpired reports whether the pause and the probe period after it are over.
+func (r pausedEntry) isExpired(now time.Time) bool { return now.Sub(r.until) >= probeRetention }
 
 // NewBoard returns an empty Board.
 func NewBoard(cfg BoardConfig) *Board {
 	return &Board{
-		cfg: cfg, ignored: recent.New[string](ignoredEvery), lines: logline.Limit{Most: mostLines}, left: map[string]leaving{}, rests: map[string]resting{},
+		cfg: cfg, recentlyInvalid: recent.New[string](invalidLogInterval), logLimit: logline.Limit{Most: maxLogLines},
+		leaving: map[string]leavingEntry{}, paused: map[string]pausedEntry{},
 	}
 }
 
-// Heard takes in what an endpoint said with an answer of its own.
+// Heard records the notices in an answer that this box received from an endpoint.
 func (b *Board) Heard(now time.Time, e Endpoint, w Word) {
 	if b == nil {
 		return
 	}
-	b.ignore(now, e, w.LeavingErr)
-	b.ignore(now, e, w.RestErr)
-	if w.Closing {
+	b.reportInvalid(now, e, w.LeavingErr)
+	b.reportInvalid(now, e, w.RetryAfterErr)
+	if w.ClosesConnection {
 		b.cfg.Scope.Counter("answers_closing").Inc(1)
 	}
-	if w.Leaving && b.hearLeaving(e, leaving{e.Started, e.Reused, now}, now) {
-		b.leaves(e, true)
+	if w.Leaving && b.recordLeaving(e, leavingEntry{e.Started, e.Reused, now}, now) {
+		b.notifyLeaving(e, true)
 	}
 	switch {
 	case w.Rest > 0:
-		b.hearRest(now, e, w.Rest)
+		b.recordPause(now, e, w.Rest)
 	case b.Any():
-		b.hearAnswer(now, e)
+		b.endPause(now, e)
 	}
 }
 
-// hearAnswer takes in that an endpoint has answered without asking for rest: if its rest is over, so is its trial.
-func (b *Board) hearAnswer(now time.Time, e Endpoint) {
+// endPause handles an answer that requests no pause: once the pause is over, such an answer also ends the limit of one request at
+// a time.
+func (b *Board) endPause(now time.Time, e Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r, ok := b.rests[e.Name]; ok && !now.Before(r.until) && r.started <= e.Started {
-		delete(b.rests, e.Name)
-		b.counted()
+	if r, ok := b.paused[e.Name]; ok && !now.Before(r.until) && r.started <= e.Started {
+		delete(b.paused, e.Name)
+		b.updateCount()
 	}
 }
 
-// Told takes in what another box knows.
-func (b *Board) Told(now time.Time, all []Left) {
+// MergeLeaving records the leaving endpoints that another box reported.
+func (b *Board) MergeLeaving(now time.Time, reports []Left) {
 	if b == nil {
 		return
 	}
-	for _, l := range all {
-		e := Endpoint{l.Endpoint, l.Started, l.Reused}
-		if b.hearLeaving(e, leaving{l.Started, l.Reused, now.Add(-max(0, l.Age))}, now) {
-			b.leaves(e, false)
+	for _, l := range reports {
+		e := Endpoint{l.Endpoint, l.Started, l.NameReused}
+		if b.recordLeaving(e, leavingEntry{l.Started, l.NameReused, now.Add(-max(0, l.Age))}, now) {
+			b.notifyLeaving(e, false)
 		}
 	}
 }
 
-func (b *Board) leaves(e Endpoint, heard bool) {
+// notifyLeaving calls the Leaves callback, if there is one.
+func (b *Board) notifyLeaving(e Endpoint, direct bool) {
 	if b.cfg.Leaves != nil {
-		b.cfg.Leaves(e, heard)
+		b.cfg.Leaves(e, direct)
 	}
 }
 
-// ignore tells of what cannot be understood. What was known of the endpoint stands.
-func (b *Board) ignore(now time.Time, e Endpoint, err error) {
+// reportInvalid counts and logs an invalid header of an endpoint. The entries of the endpoint stay as they are.
+func (b *Board) reportInvalid(now time.Time, e Endpoint, err error) {
 	if err == nil {
 		return
 	}
 	b.cfg.Scope.Counter("notices_ignored").Inc(1)
-	if b.ignored.Has(e.Name, now) {
+	if b.recentlyInvalid.Has(e.Name, now) {
 		return
 	}
-	b.ignored.Add(e.Name, now)
-	klog.ErrorS(err, "word of an endpoint ignored", "endpoint", e.Name)
+	b.recentlyInvalid.Add(e.Name, now)
+	klog.ErrorS(err, "invalid notice header of endpoint ignored", "endpoint", e.Name)
 }
 
-// hearLeaving takes in that an endpoint leaves. It reports whether that is news.
-func (b *Board) hearLeaving(e Endpoint, l leaving, now time.Time) bool {
-	if l.over(now) {
+// recordLeaving stores that an endpoint is leaving. It reports whether this is a new report.
+func (b *Board) recordLeaving(e Endpoint, l leavingEntry, now time.Time) bool {
+	if l.isExpired(now) {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	had, ok := b.left[e.Name]
-	// Where lives are not told apart, each word may be that of another one: it is counted from anew now and then.
-	again := l.reused && l.at.Sub(had.at) > keepReused/2
-	if ok && !had.over(now) && had.started >= l.started && !again {
+	previous, ok := b.leaving[e.Name]
+	// If incarnations cannot be distinguished, each report may come from a new one, so the entry is renewed once half of its
+	// retention time is over.
+	renew := l.nameReused && l.reportedAt.Sub(previous.reportedAt) > reusedNameRetention/2
+	if ok && !previous.isExpired(now) && previous.started >= l.started && !renew {
 		return false
 	}
 	if !ok {
-		makeRoom(b.left, func(l leaving) time.Time { return l.at })
+		evictOldest(b.leaving, func(l leavingEntry) time.Time { return l.reportedAt })
 	}
-	b.left[e.Name] = l
-	b.counted()
+	b.leaving[e.Name] = l
+	b.updateCount()
 	b.cfg.Scope.Counter("endpoints_leaving").Inc(1)
-	b.lines.Info(now, "endpoint says that it leaves", "endpoint", e.Name, "started", e.Started, "age", now.Sub(l.at))
+	b.logLimit.Info(now, "endpoint is leaving", "endpoint", e.Name, "started", e.Started, "age", now.Sub(l.reportedAt))
 	return true
 }
 
-func (b *Board) hearRest(now time.Time, e Endpoint, rest time.Duration) {
+// recordPause stores the pause that an endpoint requested. It keeps an existing entry of a later incarnation, and one of the same
+// incarnation that ends no earlier.
+func (b *Board) recordPause(now time.Time, e Endpoint, duration time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	had, ok := b.rests[e.Name]
-	until := now.Add(rest)
-	if ok && (had.started > e.Started || (had.started == e.Started && !until.After(had.until))) {
+	previous, ok := b.paused[e.Name]
+	until := now.Add(duration)
+	if ok && (previous.started > e.Started || (previous.started == e.Started && !until.After(previous.until))) {
 		return
 	}
 	if !ok {
-		makeRoom(b.rests, func(r resting) time.Time { return r.until })
+		evictOldest(b.paused, func(r pausedEntry) time.Time { return r.until })
 	}
-	b.rests[e.Name] = resting{started: e.Started, until: until}
-	b.counted()
+	b.paused[e.Name] = pausedEntry{started: e.Started, until: until}
+	b.updateCount()
 	b.cfg.Scope.Counter("rests_asked").Inc(1)
-	b.lines.Info(now, "endpoint asks for rest", "endpoint", e.Name, "rest", rest)
+	b.logLimit.Info(now, "endpoint requested a pause", "endpoint", e.Name, "rest", duration)
 }
 
-func (b *Board) counted() { b.count.Store(int64(len(b.left) + len(b.rests))) }
+// updateCount sets entryCount from the maps. The caller must hold the lock.
+func (b *Board) updateCount() { b.entryCount.Store(int64(len(b.leaving) + len(b.paused))) }
 
-// makeRoom drops the oldest entry of a full map.
-func makeRoom[T any](all map[string]T, at func(T) time.Time) {
-	if len(all) < maxEndpoints {
+// evictOldest removes the oldest entry if the map is full.
+func evictOldest[T any](entries map[string]T, timeOf func(T) time.Time) {
+	if len(entries) < maxEndpoints {
 		return
 	}
 	oldest := ""
-	for name, t := range all {
-		if oldest == "" || at(t).Before(at(all[oldest])) {
+	for name, t := range entries {
+		if oldest == "" || timeOf(t).Before(timeOf(entries[oldest])) {
 			oldest = name
 		}
 	}
-	delete(all, oldest)
+	delete(entries, oldest)
 }
 
-// Any reports whether anything is known of any endpoint. Who looks at many asks this first, as reading the clock for each costs more.
-func (b *Board) Any() bool { return b != nil && b.count.Load() > 0 }
+// Any reports whether there are entries for any endpoint. Callers that check many endpoints call it first, since reading the
+// clock for each endpoint costs more.
+func (b *Board) Any() bool { return b != nil && b.entryCount.Load() > 0 }
 
-// Leaves reports whether an endpoint has said in its present life that it leaves.
+// Leaves reports whether this incarnation of an endpoint has announced that it is leaving.
 func (b *Board) Leaves(now time.Time, e Endpoint) bool {
 	if !b.Any() {
 		return false
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l, ok := b.left[e.Name]
-	return ok && l.started >= e.Started && !l.over(now)
+	l, ok := b.leaving[e.Name]
+	return ok && l.started >= e.Started && !l.isExpired(now)
 }
 
-// Rest returns for how long an endpoint is to get nothing more from this box: the rest that it has asked for, then what an answer is waited for.
+// Rest returns how long this box must send no further request to an endpoint: the remaining time of the requested pause
+// or, after it, the remaining wait for the answer to the last probe.
 func (b *Board) Rest(now time.Time, e Endpoint) time.Duration {
 	if !b.Any() {
 		return 0
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, ok := b.rests[e.Name]
+	r, ok := b.paused[e.Name]
 	if !ok || r.started < e.Started {
 		return 0
 	}
-	return r.wait(now)
+	return r.remainingWait(now)
 }
 
-// Enter asks whether a request may be sent to an endpoint now, and counts it as sent if so; else the wait is as Rest tells it.
+// Enter reports whether a request may be sent to an endpoint now. If so, it counts the request as sent; otherwise it returns the
+// wait, as Rest does.
 func (b *Board) Enter(now time.Time, e Endpoint) (wait time.Duration, ok bool) {
 	if !b.Any() {
 		return 0, true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, rests := b.rests[e.Name]
-	if !rests || r.started < e.Started {
+	r, isPaused := b.paused[e.Name]
+	if !isPaused || r.started < e.Started {
 		return 0, true
 	}
-	if wait = r.wait(now); wait > 0 {
+	if wait = r.remainingWait(now); wait > 0 {
 		return wait, false
 	}
-	r.trial = now.Add(trialTime)
-	b.rests[e.Name] = r
+	r.probeDeadline = now.Add(probeTimeout)
+	b.paused[e.Name] = r
 	return 0, true
 }
 
-// Resting is an endpoint that wants nothing from this box, for a time.
+// Resting describes an endpoint that requested a pause from this box.
 type Resting struct {
 	Endpoint string `json:"endpoint"`
-	// Left is how much of that time is left; none is left of one that is on trial.
+	// Left is the remaining time of the pause. It is zero while the endpoint gets one request at a time.
 	Left time.Duration `json:"left"`
 }
 
-// Rests returns the endpoints that have asked this box for rest, by name.
+// Rests returns the endpoints that requested a pause from this box, sorted by name.
 func (b *Board) Rests(now time.Time) []Resting {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget(now)
+	b.removeExpired(now)
 	var all []Resting
-	for name, r := range b.rests {
+	for name, r := range b.paused {
 		all = append(all, Resting{name, max(0, r.until.Sub(now))})
 	}
 	slices.SortFunc(all, func(x, y Resting) int { return strings.Compare(x.Endpoint, y.Endpoint) })
 	return all
 }
 
-// Left returns the endpoints that leave, by name.
+// Left returns the endpoints that are leaving, sorted by name.
 func (b *Board) Left(now time.Time) []Left {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.forget(now)
+	b.removeExpired(now)
 	var all []Left
-	for name, l := range b.left {
-		all = append(all, Left{name, l.started, l.reused, now.Sub(l.at)})
+	for name, l := range b.leaving {
+		all = append(all, Left{name, l.started, l.nameReused, now.Sub(l.reportedAt)})
 	}
 	slices.SortFunc(all, func(x, y Left) int { return strings.Compare(x.Endpoint, y.Endpoint) })
 	return all
 }
 
-// forget drops what is over.
-func (b *Board) forget(now time.Time) {
-	for name, l := range b.left {
-		if l.over(now) {
-			delete(b.left, name)
+// removeExpired removes expired entries. The caller must hold the lock.
+func (b *Board) removeExpired(now time.Time) {
+	for name, l := range b.leaving {
+		if l.isExpired(now) {
+			delete(b.leaving, name)
 		}
 	}
-	for name, r := range b.rests {
-		if r.over(now) {
-			delete(b.rests, name)
+	for name, r := range b.paused {
+		if r.isExpired(now) {
+			delete(b.paused, name)
 		}
 	}
-	b.counted()
+	b.updateCount()
 }
--- a/internal/notice/client.go
+++ b/internal/notice/client.go
@@ -21,40 +21,44 @@
 	"github.com/bellgap/bellgap/internal/part"
 )
 
-// Paths of the protocol: one tells a box news, the other compares what two boxes know.
+// Paths of the protocol: pathNotify reports leaving endpoints to a box, pathCompare compares the leaving endpoints that two boxes
+// know.
 const (
-	pathTell    = "/peer/notices/tell"
+	pathNotify  = "/peer/notices/tell"
 	pathCompare = "/peer/notices/compare"
 )
 
 const (
-	// tellTimeout bounds a message: a round trip between zones takes 3 ms, on a busy box some 50.
-	tellTimeout = 250 * time.Millisecond
-	// toldAtOnce bounds the boxes that are told at the same time.
-	toldAtOnce = 32
-	// newsEvery gathers what endpoints say at the same moment, newsRing bounds it; what is lost is found by comparing.
-	newsEvery = 10 * time.Millisecond
-	newsRing  = 1024
-	// compareEvery is how often a box compares what it knows with another one, drawn anew each time: a new box, or one that was cut off or stood still,
-	// knows within two, wherever it is and whether there is a coordinator or a store.
-	compareEvery = time.Second
-	// firstEvery is how often a box that has started tries until it has compared once, firstTries how often at the most: it takes requests from then on.
-	firstEvery = 20 * time.Millisecond
-	firstTries = 3
-	maxMessage = 512 << 10
+	// callTimeout bounds a call to another box: a round trip between zones takes 3 ms, on a busy box about 50 ms.
+	callTimeout = 250 * time.Millisecond
+	// maxConcurrentCalls bounds the boxes that are notified at the same time.
+	maxConcurrentCalls = 32
+	// batchInterval is the time for which reports are collected into one message, since many endpoints may announce at the same
+	// moment.
+	batchInterval = 10 * time.Millisecond
+	// batchCapacity bounds the reports waiting to be sent. Reports beyond it are dropped; other boxes get them by comparing.
+	batchCapacity = 1024
+	// compareInterval is the time between two comparisons with another box, which is picked at random each time. A box that is
+	// new, was cut off or was frozen is up to date within two intervals, in every zone and also without a coordinator or a store.
+	compareInterval = time.Second
+	// initialCompareInterval is the time between the attempts of a starting box to make its first comparison.
+	initialCompareInterval = 20 * time.Millisecond
+	// maxInitialCompares bounds the failed attempts at the first comparison. After them the box accepts requests without it.
+	maxInitialCompares = 3
+	maxMessageBytes    = 512 << 10
 )
 
-// message is what one box tells another.
+// message is the body of requests and replies between boxes.
 type message struct {
-	// Sum stands for all that the sender knows, see sumOf.
-	Sum  uint64 `json:"sum"`
-	Left []Left `json:"left,omitempty"`
+	// Checksum identifies the set of leaving endpoints that the sender knows, see leavingChecksum.
+	Checksum uint64 `json:"sum"`
+	Leaving  []Left `json:"left,omitempty"`
 }
 
-// sumOf returns a number that two boxes which know the same endpoints to leave have in common.
-func sumOf(all []Left) uint64 {
+// leavingChecksum returns a checksum that is equal on boxes that know the same leaving endpoints, in whatever order.
+func leavingChecksum(reports []Left) uint64 {
 	sum := uint64(0)
-	for _, l := range all {
+	for _, l := range reports {
 		sum ^= xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(l.Endpoint), uint64(l.Started)))
 	}
 	return sum
@@ -64,26 +68,27 @@
 type ClientConfig struct {
 	HTTP  *http.Client
 	Board *Board
-	// Others returns the other boxes that are there.
+	// Others returns the addresses of the other running boxes.
 	Others func() []netip.AddrPort
 	Scope  tally.Scope
 }
 
-// Client tells other boxes which endpoints leave. The first box that hears it tells all: it is said once in a life, and each box that does not know sends
-// requests to an endpoint that may end under them.
+// Client reports leaving endpoints to the other boxes. The box that receives the announcement notifies all others, because an
+// endpoint announces only once per incarnation that it is leaving. A box that does not know sends requests to an endpoint that
+// may end while they run.
 type Client struct {
-	cfg  ClientConfig
-	news *gather.Gatherer[struct{}, Endpoint]
-	done chan struct{}
-	// first says that a comparison has been tried as often as it has to be after a start.
-	first atomic.Bool
+	cfg     ClientConfig
+	batcher *gather.Gatherer[struct{}, Endpoint]
+	done    chan struct{}
+	// initialCompareDone is set once the first comparison after the start has succeeded or its attempts are used up.
+	initialCompareDone atomic.Bool
 }
 
-// NewClient returns a Client; its Serve has to run.
+// NewClient returns a Client. The caller must run Serve.
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, done: make(chan struct{})}
-	c.news = gather.New(gather.Config[struct{}, Endpoint]{
-		Ring: newsRing, Every: newsEvery, Send: c.tellAll,
+	c.batcher = gather.New(gather.Config[struct{}, Endpoint]{
+		Ring: batchCapacity, Every: batchInterval, Send: c.notifyOthers,
 		Dropped: func() { cfg.Scope.Counter("notices_dropped").Inc(1) },
 	})
 	return c
@@ -92,62 +97,64 @@
 // Done is closed when Serve has ended.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Leaves tells the other boxes, soon, that an endpoint told this one that it leaves.
-func (c *Client) Leaves(e Endpoint) { c.news.Add(struct{}{}, e) }
+// Leaves queues a report to the other boxes that an endpoint has announced to this box that it is leaving.
+func (c *Client) Leaves(e Endpoint) { c.batcher.Add(struct{}{}, e) }
 
-// Serve tells and compares until ctx ends.
+// Serve sends reports and compares with other boxes until ctx ends.
 func (c *Client) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, c.done)
 	var group errgroup.Group
-	group.Go(func() error { return c.news.Serve(ctx) })
+	group.Go(func() error { return c.batcher.Serve(ctx) })
 	c.catchUp(ctx)
-	for part.Sleep(ctx, compareEvery) {
+	for part.Sleep(ctx, compareInterval) {
 		c.compare(ctx)
 	}
 	return group.Wait()
 }
 
-// CaughtUp reports whether this box knows, as far as others answer, what they knew when it started.
-func (c *Client) CaughtUp() bool { return c.first.Load() || len(c.cfg.Others()) == 0 }
+// CaughtUp reports whether the first comparison after the start is done or given up. It is always true while there are no other
+// boxes.
+func (c *Client) CaughtUp() bool { return c.initialCompareDone.Load() || len(c.cfg.Others()) == 0 }
 
-// catchUp compares for the first time, once other boxes are known.
+// catchUp makes the first comparison, once other boxes are known.
 func (c *Client) catchUp(ctx context.Context) {
-	for tries := 0; tries < firstTries; {
+	for attempts := 0; attempts < maxInitialCompares; {
 		if len(c.cfg.Others()) > 0 {
 			if c.compare(ctx) {
 				break
 			}
-			tries++
+			attempts++
 		}
-		if !part.Sleep(ctx, firstEvery) {
+		if !part.Sleep(ctx, initialCompareInterval) {
 			return
 		}
 	}
-	c.first.Store(true)
+	c.initialCompareDone.Store(true)
 }
 
-// tellAll tells every other box of endpoints that leave.
-func (c *Client) tellAll(ctx context.Context, _ struct{}, all []Endpoint) {
+// notifyOthers sends leaving endpoints to every other box.
+func (c *Client) notifyOthers(ctx context.Context, _ struct{}, endpoints []Endpoint) {
 	var m message
-	for _, e := range all {
-		m.Left = append(m.Left, Left{Endpoint: e.Name, Started: e.Started, Reused: e.Reused})
+	for _, e := range endpoints {
+		m.Leaving = append(m.Leaving, Left{Endpoint: e.Name, Started: e.Started, NameReused: e.Reused})
 	}
 	var group errgroup.Group
-	group.SetLimit(toldAtOnce)
+	group.SetLimit(maxConcurrentCalls)
 	for _, address := range c.cfg.Others() {
 		group.Go(func() error {
-			if _, err := c.post(context.WithoutCancel(ctx), address, pathTell, m); err != nil {
+			if _, err := c.post(context.WithoutCancel(ctx), address, pathNotify, m); err != nil {
 				c.cfg.Scope.Counter("notices_untold").Inc(1)
-				klog.V(1).InfoS("box not told of endpoints that leave; it finds out by comparing", "box", address, "endpoints", len(all), "err", err)
+				klog.V(1).InfoS("leaving endpoints not delivered to box; it gets them by comparing", "box", address, "endpoints", len(endpoints), "err", err)
 			}
 			return nil
 		})
 	}
-	// Calls return no error.
+	// The functions of the group always return nil.
 	_ = group.Wait()
 }
 
-// compare compares what this box knows with another one: each tells the other what only it knows. It reports whether that one answered.
+// compare exchanges leaving endpoints with a random other box if their checksums differ, so that both know all of them. It
+// reports whether the other box answered.
 func (c *Client) compare(ctx context.Context) bool {
 	others := c.cfg.Others()
 	if len(others) == 0 {
@@ -155,24 +162,24 @@
 	}
 	address := others[rand.IntN(len(others))]
 	known := c.cfg.Board.Left(clock.Now())
-	answer, err := c.post(ctx, address, pathCompare, message{Sum: sumOf(known)})
+	answer, err := c.post(ctx, address, pathCompare, message{Checksum: leavingChecksum(known)})
 	if err != nil {
 		c.cfg.Scope.Counter("notices_uncompared").Inc(1)
 		return false
 	}
-	c.cfg.Board.Told(clock.Now(), answer.Left)
+	c.cfg.Board.MergeLeaving(clock.Now(), answer.Leaving)
 	known = c.cfg.Board.Left(clock.Now())
-	if sumOf(known) == answer.Sum {
+	if leavingChecksum(known) == answer.Checksum {
 		return true
 	}
-	if _, err := c.post(ctx, address, pathTell, message{Left: known}); err != nil {
-		klog.V(1).InfoS("box not told of endpoints that leave", "box", address, "err", err)
+	if _, err := c.post(ctx, address, pathNotify, message{Leaving: known}); err != nil {
+		klog.V(1).InfoS("leaving endpoints not delivered to box", "box", address, "err", err)
 	}
 	return true
 }
 
 func (c *Client) post(ctx context.Context, to netip.AddrPort, path string, m message) (message, error) {
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer message
 	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+to.String()+path, m, &answer)
--- a/internal/notice/client_test.go
+++ b/internal/notice/client_test.go
@@ -20,33 +20,34 @@
 	"github.com/bellgap/bellgap/internal/httpx"
 )
 
-// testBox is a box that others can be cut off from.
+// testBox is a box that can be disconnected from the others.
 type testBox struct {
 	board   *Board
 	client  *Client
 	address netip.AddrPort
-	// transport is that of its calls.
-	transport http.RoundTripper
-	cut       atomic.Bool
+	// transport sends the calls of this box.
+	transport    http.RoundTripper
+	disconnected atomic.Bool
 }
 
-// errCut ends calls of a box that is cut off.
-var errCut = errors.New("cut off")
+// errDisconnected is returned for calls of a disconnected box.
+var errDisconnected = errors.New("box is disconnected")
 
-// RoundTrip implements http.RoundTripper: a box that is cut off hears no answer either, also not to what it asked before.
+// RoundTrip implements http.RoundTripper. A disconnected box can neither send requests nor receive answers, not even to requests
+// that it sent before.
 func (b *testBox) RoundTrip(req *http.Request) (*http.Response, error) {
-	if b.cut.Load() {
-		return nil, errCut
+	if b.disconnected.Load() {
+		return nil, errDisconnected
 	}
 	resp, err := b.transport.RoundTrip(req)
-	if err == nil && b.cut.Load() {
+	if err == nil && b.disconnected.Load() {
 		_ = resp.Body.Close()
-		return nil, errCut
+		return nil, errDisconnected
 	}
 	return resp, err
 }
 
-// startBoxes starts boxes that know each other.
+// startBoxes starts n boxes that have each other's addresses.
 func startBoxes(t *testing.T, n int) []*testBox {
 	ctx, cancel := context.WithCancel(context.Background())
 	var group errgroup.Group
@@ -57,15 +58,15 @@
 	boxes := make([]*testBox, n)
 	for i := range boxes {
 		b := &testBox{transport: httpx.NewOnceTransport()}
-		b.board = NewBoard(BoardConfig{Scope: tally.NoopScope, Leaves: func(e Endpoint, heard bool) {
-			if heard {
+		b.board = NewBoard(BoardConfig{Scope: tally.NoopScope, Leaves: func(e Endpoint, direct bool) {
+			if direct {
 				b.client.Leaves(e)
 			}
 		}})
 		mux := http.NewServeMux()
 		NewServer(ServerConfig{Board: b.board}).Register(mux)
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if b.cut.Load() {
+			if b.disconnected.Load() {
 				panic(http.ErrAbortHandler)
 			}
 			mux.ServeHTTP(w, r)
@@ -92,15 +93,16 @@
 	return boxes
 }
 
-func (b *testBox) knows(e Endpoint) bool { return b.board.Leaves(clock.Now(), e) }
+func (b *testBox) hasLeaving(e Endpoint) bool { return b.board.Leaves(clock.Now(), e) }
 
-// within waits until all boxes know, and returns how long that took.
-func within(c *qt.C, limit time.Duration, e Endpoint, boxes ...*testBox) time.Duration {
+// awaitLeaving waits until all boxes know that an endpoint is leaving and returns how long that took. It fails the test after
+// limit.
+func awaitLeaving(c *qt.C, limit time.Duration, e Endpoint, boxes ...*testBox) time.Duration {
 	began := time.Now()
 	for _, b := range boxes {
-		for !b.knows(e) {
+		for !b.hasLeaving(e) {
 			if time.Since(began) > limit {
-				c.Fatalf("a box does not know after %v", limit)
+				c.Fatalf("a box does not know after %v that the endpoint is leaving", limit)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -108,31 +110,33 @@
 	return time.Since(began)
 }
 
-// TestAllBoxesKnowSoon: one box hears it; others are cut off at that moment, and know it once they are back.
-func TestAllBoxesKnowSoon(t *testing.T) {
+// TestLeavingReachesAllBoxes lets one box receive the announcement while some others are disconnected. These must get it once
+// they are connected again.
+func TestLeavingReachesAllBoxes(t *testing.T) {
 	c := qt.New(t)
 	boxes := startBoxes(t, 30)
 	e := Endpoint{Name: "e", Started: 7}
-	cut := boxes[20:]
-	for _, b := range cut {
-		b.cut.Store(true)
+	disconnected := boxes[20:]
+	for _, b := range disconnected {
+		b.disconnected.Store(true)
 	}
 	boxes[0].board.Heard(clock.Now(), e, Word{Leaving: true})
-	c.Logf("all others know after %v", within(c, time.Second, e, boxes[:20]...))
-	for _, b := range cut {
-		c.Check(b.knows(e), qt.IsFalse)
-		b.cut.Store(false)
+	c.Logf("all connected boxes know after %v", awaitLeaving(c, time.Second, e, boxes[:20]...))
+	for _, b := range disconnected {
+		c.Check(b.hasLeaving(e), qt.IsFalse)
+		b.disconnected.Store(false)
 	}
-	c.Logf("those that were cut off know %v after that", within(c, 3*time.Second, e, cut...))
+	c.Logf("the reconnected boxes know %v later", awaitLeaving(c, 3*time.Second, e, disconnected...))
 }
 
-// TestNewsFromTwoSides: two halves hear of different endpoints while they are cut from each other.
-func TestNewsFromTwoSides(t *testing.T) {
+// TestCompareMergesBothHalves gives each half of the boxes a different leaving endpoint, as after a network partition. Comparing
+// must bring both to all.
+func TestCompareMergesBothHalves(t *testing.T) {
 	c := qt.New(t)
 	boxes := startBoxes(t, 10)
 	for i, b := range boxes {
-		b.board.Told(clock.Now(), []Left{{Endpoint: fmt.Sprint("e", i%2)}})
+		b.board.MergeLeaving(clock.Now(), []Left{{Endpoint: fmt.Sprint("e", i%2)}})
 	}
-	within(c, 3*time.Second, Endpoint{Name: "e0"}, boxes...)
-	within(c, 3*time.Second, Endpoint{Name: "e1"}, boxes...)
+	awaitLeaving(c, 3*time.Second, Endpoint{Name: "e0"}, boxes...)
+	awaitLeaving(c, 3*time.Second, Endpoint{Name: "e1"}, boxes...)
 }
--- a/internal/notice/word_test.go
+++ b/internal/notice/headers_test.go
@@ -8,16 +8,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var names = Headers{Rate: "Rate", Leaving: "Leaving"}
+var testHeaders = Headers{Rate: "Rate", Leaving: "Leaving"}
 
-func TestReadRest(t *testing.T) {
+func TestReadRetryAfter(t *testing.T) {
 	const answered = "Thu, 03 Dec 2026 06:00:00 GMT"
 	for _, test := range []struct {
 		name   string
 		status int
 		values []string
 		date   string
-		rest   time.Duration
+		want   time.Duration
 		ok     bool
 	}{
 		{"none", 503, nil, answered, 0, true},
@@ -26,17 +26,17 @@
 		{"with 429", 429, []string{"1.5"}, answered, 1500 * time.Millisecond, true},
 		{"with another status", 200, []string{"3"}, answered, 0, true},
 		{"zero", 503, []string{"0"}, answered, 0, true},
-		{"several, the longest counts", 503, []string{"1", "2.5", "2"}, answered, 2500 * time.Millisecond, true},
+		{"several values, the longest counts", 503, []string{"1", "2.5", "2"}, answered, 2500 * time.Millisecond, true},
 		{"an hour", 503, []string{"3600"}, answered, time.Hour, true},
-		{"a year", 503, []string{"31536000"}, answered, longestRest, true},
+		{"a year", 503, []string{"31536000"}, answered, maxRetryAfter, true},
 		{"a date", 503, []string{"Thu, 03 Dec 2026 06:00:05 GMT"}, answered, 5 * time.Second, true},
-		{"a date that is over", 503, []string{"Thu, 03 Dec 2026 05:00:00 GMT"}, answered, 0, true},
-		{"a date without the answer's", 503, []string{"Thu, 03 Dec 2026 06:00:05 GMT"}, "", 0, false},
+		{"a date in the past", 503, []string{"Thu, 03 Dec 2026 05:00:00 GMT"}, answered, 0, true},
+		{"a date without a Date header", 503, []string{"Thu, 03 Dec 2026 06:00:05 GMT"}, "", 0, false},
 		{"negative", 503, []string{"-1"}, answered, 0, false},
 		{"not a number", 503, []string{"NaN"}, answered, 0, false},
 		{"infinite", 503, []string{"inf"}, answered, 0, false},
 		{"too large", 503, []string{"1e999"}, answered, 0, false},
-		{"a word", 503, []string{"soon"}, answered, 0, false},
+		{"not a number or date", 503, []string{"soon"}, answered, 0, false},
 		{"empty", 503, []string{""}, answered, 0, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -45,18 +45,19 @@
 			if test.date != "" {
 				h.Set("Date", test.date)
 			}
-			w := names.Read(test.status, h)
-			c.Check(w.RestErr == nil, qt.Equals, test.ok)
-			c.Check(w.Rest, qt.Equals, test.rest)
+			w := testHeaders.Read(test.status, h)
+			c.Check(w.RetryAfterErr == nil, qt.Equals, test.ok)
+			c.Check(w.Rest, qt.Equals, test.want)
 		})
 	}
 }
 
-// TestReadLeaving: that a connection ends with the answer is no word that the endpoint leaves, as others end theirs now and then.
+// TestReadLeaving also checks that a closed connection does not count as leaving: endpoints that stay close connections now and
+// then, too.
 func TestReadLeaving(t *testing.T) {
-	closing := names.Read(200, http.Header{"Connection": {"close"}})
+	closing := testHeaders.Read(200, http.Header{"Connection": {"close"}})
 	qt.Check(t, closing.Leaving, qt.IsFalse)
-	qt.Check(t, closing.Closing, qt.IsTrue)
+	qt.Check(t, closing.ClosesConnection, qt.IsTrue)
 	for _, test := range []struct {
 		values      []string
 		leaving, ok bool
@@ -70,7 +71,7 @@
 		{[]string{"soon"}, false, false},
 	} {
 		c := qt.New(t)
-		w := names.Read(200, http.Header{"Leaving": test.values})
+		w := testHeaders.Read(200, http.Header{"Leaving": test.values})
 		c.Check(w.Leaving, qt.Equals, test.leaving, qt.Commentf("%q", test.values))
 		c.Check(w.LeavingErr == nil, qt.Equals, test.ok, qt.Commentf("%q", test.values))
 	}
--- a/internal/notice/server.go
+++ b/internal/notice/server.go
@@ -13,31 +13,31 @@
 	Board *Board
 }
 
-// Server answers other boxes.
+// Server answers the notifications and comparisons of other boxes.
 type Server struct{ cfg ServerConfig }
 
 // NewServer returns a Server.
 func NewServer(cfg ServerConfig) *Server { return &Server{cfg: cfg} }
 
-// Register adds the paths to mux.
+// Register adds the handlers of the protocol to mux.
 func (s *Server) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+pathTell, func(w http.ResponseWriter, r *http.Request) {
+	mux.HandleFunc("POST "+pathNotify, func(w http.ResponseWriter, r *http.Request) {
 		var m message
-		if !result.ReadJSON(w, r, maxMessage, &m) {
+		if !result.ReadJSON(w, r, maxMessageBytes, &m) {
 			return
 		}
-		s.cfg.Board.Told(clock.Now(), m.Left)
+		s.cfg.Board.MergeLeaving(clock.Now(), m.Leaving)
 		httpx.WriteJSON(w, http.StatusOK, message{})
 	})
 	mux.HandleFunc("POST "+pathCompare, func(w http.ResponseWriter, r *http.Request) {
 		var m message
-		if !result.ReadJSON(w, r, maxMessage, &m) {
+		if !result.ReadJSON(w, r, maxMessageBytes, &m) {
 			return
 		}
 		known := s.cfg.Board.Left(clock.Now())
-		answer := message{Sum: sumOf(known)}
-		if answer.Sum != m.Sum {
-			answer.Left = known
+		answer := message{Checksum: leavingChecksum(known)}
+		if answer.Checksum != m.Checksum {
+			answer.Leaving = known
 		}
 		httpx.WriteJSON(w, http.StatusOK, answer)
 	})
