--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -1,4 +1,4 @@
-// Package feed keeps a catalog up to date from the coordinator of the cell, or from the platform.
+// Package feed keeps a catalog up to date with the changes from the coordinator of the cell or from the platform.
 package feed
 
 import (
@@ -17,51 +17,56 @@
 	"github.com/bellgap/bellgap/internal/part"
 )
 
-// Timings of a Feed.
+// Timings of a Feed. watchTimeout is how long a watch call waits for changes. pollInterval is the pause after a successful call
+// and the initial backoff. maxBackoff bounds the backoff after failures; the actual pause is a random 50 to 150 percent of it.
 const (
-	watchWait  = 20 * time.Second
-	minPause   = 500 * time.Millisecond
-	maxBackoff = 5 * time.Second
+	watchTimeout = 20 * time.Second
+	pollInterval = 500 * time.Millisecond
+	maxBackoff   = 5 * time.Second
 )
 
-// Source gives changes: the platform or another box.
+// Source is where a Feed reads objects and their changes: the platform or another box.
 type Source interface {
+	// List returns one page of the objects of the given kinds. The page token after is empty for the first page.
 	List(ctx context.Context, kinds []string, after string) (objects.Changes, error)
+	// Watch returns the changes of the given kinds after from. If there are none yet, it waits for them, at most for wait.
 	Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error)
-	// Authoritative reports whether a list that is behind means that the platform was restored; a box may just be late.
+	// Authoritative reports whether a list older than the catalog means that the platform was restored from a backup. It is false
+	// for another box, which may only lag behind.
 	Authoritative() bool
 }
 
-var errBehind = errors.New("feed: the other box is behind this one")
+var errStaleList = errors.New("feed: list of the other box is older than the catalog of this box")
 
 // Config configures a Feed.
 type Config struct {
 	Catalog *catalog.Catalog
 	// Pick returns the source for the next call.
 	Pick func() Source
-	// Lost returns what other boxes hold and the platform has lost, for the first list; nil in tests that need none.
+	// Lost returns the objects that other boxes hold and that the platform has lost. They are merged after the first list. It may
+	// be nil in tests.
 	Lost func(ctx context.Context) ([]objects.Object, error)
-	// Scope counts calls.
+	// Scope receives the counters of calls and failures.
 	Scope tally.Scope
 }
 
-// Feed is the part that watches.
+// Feed lists and watches a Source and applies the changes to a catalog.
 type Feed struct {
-	cfg   Config
-	done  chan struct{}
-	ready chan struct{}
-	once  sync.Once
+	cfg        Config
+	done       chan struct{}
+	ready      chan struct{}
+	closeReady sync.Once
 }
 
-// New returns a Feed; its Serve has to run.
+// New returns a Feed. The caller must run Serve.
 func New(cfg Config) *Feed {
 	return &Feed{cfg: cfg, done: make(chan struct{}), ready: make(chan struct{})}
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended.
 func (f *Feed) Done() <-chan struct{} { return f.done }
 
-// Ready is closed once the catalog holds a full list.
+// Ready returns a channel that is closed once the catalog holds a full list.
 func (f *Feed) Ready() <-chan struct{} { return f.ready }
 
 // IsReady reports whether the catalog holds a full list.
@@ -74,19 +79,19 @@
 	}
 }
 
-// Serve watches until ctx ends.
+// Serve lists and watches until ctx ends.
 func (f *Feed) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, f.done)
-	backoff := minPause
+	backoff := pollInterval
 	for ctx.Err() == nil {
-		pause := minPause
-		if err := f.step(ctx); err != nil && ctx.Err() == nil {
+		pause := pollInterval
+		if err := f.poll(ctx); err != nil && ctx.Err() == nil {
 			f.cfg.Scope.Counter("feed_failures").Inc(1)
 			klog.V(1).InfoS("feed", "err", err)
 			backoff = min(2*backoff, maxBackoff)
 			pause = backoff/2 + rand.N(backoff)
 		} else {
-			backoff = minPause
+			backoff = pollInterval
 		}
 		select {
 		case <-time.After(pause):
@@ -96,33 +101,34 @@
 	return ctx.Err()
 }
 
-// step makes one call: a list until there has been one, then watches.
-func (f *Feed) step(ctx context.Context) error {
+// poll makes one update: it lists until a full list has been received and watches from then on.
+func (f *Feed) poll(ctx context.Context) error {
 	src := f.cfg.Pick()
 	if !f.IsReady() {
 		return f.list(ctx, src)
 	}
 	f.cfg.Scope.Counter("feed_watches").Inc(1)
-	ch, err := src.Watch(ctx, catalog.WatchedKinds(), f.cfg.Catalog.Revision(), watchWait)
+	changes, err := src.Watch(ctx, catalog.WatchedKinds(), f.cfg.Catalog.Revision(), watchTimeout)
 	if errors.Is(err, objects.ErrGone) {
 		return f.list(ctx, src)
 	}
 	if err != nil {
 		return err
 	}
-	f.cfg.Catalog.Apply(ch)
+	f.cfg.Catalog.Apply(changes)
 	return nil
 }
 
-// mergeLost takes in what the platform has lost before this box first serves. A coordinator that does not answer cannot hold it up.
-func (f *Feed) mergeLost(ctx context.Context) {
+// mergeLostObjects merges the objects that the platform has lost into the catalog before this box serves for the first time. If
+// the coordinator does not answer, the box starts without them.
+func (f *Feed) mergeLostObjects(ctx context.Context) {
 	if f.cfg.Lost == nil || f.IsReady() {
 		return
 	}
 	lost, err := f.cfg.Lost(ctx)
 	if err != nil {
 		f.cfg.Scope.Counter("feed_lost_failures").Inc(1)
-		klog.InfoS("no neighbour could say what the platform has lost", "err", err)
+		klog.InfoS("no other box returned the objects that the platform has lost", "err", err)
 		return
 	}
 	f.cfg.Catalog.Merge(lost)
@@ -133,26 +139,26 @@
 	var list *catalog.Listing
 	after := ""
 	for {
-		ch, err := src.List(ctx, catalog.WatchedKinds(), after)
+		page, err := src.List(ctx, catalog.WatchedKinds(), after)
 		if err != nil {
 			return err
 		}
 		if list == nil {
-			if ch.Revision < f.cfg.Catalog.Revision() && !src.Authoritative() {
-				return errBehind
+			if page.Revision < f.cfg.Catalog.Revision() && !src.Authoritative() {
+				return errStaleList
 			}
-			if list = f.cfg.Catalog.BeginList(ch.Revision); list.Behind {
+			if list = f.cfg.Catalog.BeginList(page.Revision); list.Behind {
 				f.cfg.Scope.Counter("feed_behind").Inc(1)
-				klog.InfoS("the list is older than what this box knows; nothing is taken back")
+				klog.InfoS("list is older than the catalog of this box; no object is reverted")
 			}
 		}
-		list.Page(ch.Objects)
-		if after = ch.Next; after == "" {
+		list.Page(page.Objects)
+		if after = page.Next; after == "" {
 			break
 		}
 	}
 	list.End()
-	f.mergeLost(ctx)
-	f.once.Do(func() { close(f.ready) })
+	f.mergeLostObjects(ctx)
+	f.closeReady.Do(func() { close(f.ready) })
 	return nil
 }
--- a/internal/loads/free.go
+++ b/internal/loads/free.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Free gives a permit at once, for loads that the weight store does not limit.
+// Free is a Source that grants every permit immediately. It is for loads that the weight store does not limit.
 type Free struct{}
 
 var _ Source = Free{}
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -1,4 +1,4 @@
-// Package loads shares out the loads that the weight store allows.
+// Package loads limits the loads from the weight store: it grants permits within the store's budget.
 package loads
 
 import (
@@ -6,30 +6,32 @@
 	"time"
 )
 
-// Need describes who asks for a load.
+// Need is a request for a load permit.
 type Need struct {
-	// Engine names the engine that will load.
+	// Engine is the name of the engine that will load.
 	Engine string `json:"engine"`
-	// Urgency orders needs, higher first.
+	// Urgency orders the queue: needs with a higher value are granted first.
 	Urgency int `json:"urgency"`
-	// StartBy is the latest useful start of the first waiter.
+	// StartBy is the latest time at which starting the load is still useful for the first of the waiting requests.
 	StartBy time.Time `json:"start_by"`
-	// Waiters is how many requests wait for it.
+	// Waiters is the number of requests that wait for the load.
 	Waiters int `json:"waiters"`
 }
 
-// Permit allows one load. Call it once: when the load has ended, or with used false when it is not needed.
+// Permit allows one load. The holder must call it once to release it: with used true when the load has ended, or with used false
+// if the permit is not needed.
 type Permit func(used bool)
 
-// Source gives permits. It is an interface at the boundary to other boxes.
+// Source grants permits. It is an interface because permits come from this box or from another box.
 type Source interface {
 	// Acquire waits for a permit until ctx ends.
 	Acquire(ctx context.Context, n Need) (Permit, error)
 }
 
-// Budget is what the weight store allows.
+// Budget holds the limits of the weight store.
 type Budget struct {
-	// PerSecond is the rate of loads, AtOnce how many run at full speed.
+	// PerSecond is the maximum rate of loads.
 	PerSecond float64 `json:"per_second"`
-	AtOnce    int     `json:"at_once"`
+	// AtOnce is the maximum number of concurrent loads. The store serves that many at full speed.
+	AtOnce int `json:"at_once"`
 }
--- a/internal/loads/local.go
+++ b/internal/loads/local.go
@@ -11,52 +11,54 @@
 
 // LocalConfig configures a Local.
 type LocalConfig struct {
-	// Budget returns what may be given out now.
+	// Budget returns the current budget.
 	Budget func() Budget
 }
 
-// Local gives permits out of a budget of its own.
+// Local grants permits from its own budget.
 type Local struct {
-	mu      sync.Mutex
-	queue   *Queue
-	grants  map[uint64]chan struct{}
-	nextID  uint64
-	changed chan struct{}
-	done    chan struct{}
+	mu           sync.Mutex
+	queue        *Queue
+	grantSignals map[uint64]chan struct{}
+	nextID       uint64
+	wakeup       chan struct{}
+	done         chan struct{}
 }
 
 var _ Source = (*Local)(nil)
 
-// NewLocal returns a Local; its Serve has to run.
+// NewLocal returns a Local. The caller must run Serve.
 func NewLocal(cfg LocalConfig) *Local {
 	return &Local{
-		queue: NewQueue(clock.Now(), cfg.Budget), grants: map[uint64]chan struct{}{},
-		changed: make(chan struct{}, 1), done: make(chan struct{}),
+		queue: NewQueue(clock.Now(), cfg.Budget), grantSignals: map[uint64]chan struct{}{},
+		wakeup: make(chan struct{}, 1), done: make(chan struct{}),
 	}
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve has ended.
 func (l *Local) Done() <-chan struct{} { return l.done }
 
-// Serve hands out permits until ctx ends.
+// Serve grants permits until ctx ends.
 func (l *Local) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, l.done)
 	for {
-		wait, timed := l.handOut()
+		wait, hasNext := l.grantPermits()
 		var timer <-chan time.Time
-		if timed {
+		if hasNext {
 			timer = time.After(wait)
 		}
 		select {
 		case <-timer:
-		case <-l.changed:
+		case <-l.wakeup:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
 }
 
-func (l *Local) handOut() (time.Duration, bool) {
+// grantPermits grants all permits that are available now. It returns the time until the next one, or false if no need waits or
+// only a release can free a permit.
+func (l *Local) grantPermits() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := clock.Now()
@@ -65,8 +67,8 @@
 		if !ok {
 			return l.queue.Wait(now)
 		}
-		close(l.grants[w.ID])
-		delete(l.grants, w.ID)
+		close(l.grantSignals[w.ID])
+		delete(l.grantSignals, w.ID)
 	}
 }
 
@@ -76,36 +78,36 @@
 	l.mu.Lock()
 	l.nextID++
 	id := l.nextID
-	l.grants[id] = granted
+	l.grantSignals[id] = granted
 	l.queue.Add(Waiting{ID: id, Need: n, Since: clock.Now()})
 	l.mu.Unlock()
-	l.wake()
+	l.notifyServe()
 	select {
 	case <-granted:
-		return l.permit(), nil
+		return l.newPermit(), nil
 	case <-ctx.Done():
-		return nil, l.leave(ctx, id)
+		return nil, l.cancelWait(ctx, id)
 	}
 }
 
-// leave takes a need out; if its permit came meanwhile it goes back.
-func (l *Local) leave(ctx context.Context, id uint64) error {
+// cancelWait removes a need from the queue. If its permit has been granted in the meantime, it returns the permit unused.
+func (l *Local) cancelWait(ctx context.Context, id uint64) error {
 	l.mu.Lock()
-	waiting := l.queue.Remove(id)
-	delete(l.grants, id)
+	wasWaiting := l.queue.Remove(id)
+	delete(l.grantSignals, id)
 	l.mu.Unlock()
-	if !waiting {
-		l.permit()(false)
+	if !wasWaiting {
+		l.newPermit()(false)
 	}
 	return ctx.Err()
 }
 
-func (l *Local) permit() Permit {
+func (l *Local) newPermit() Permit {
 	var once sync.Once
-	return func(used bool) { once.Do(func() { l.giveBack(used) }) }
+	return func(used bool) { once.Do(func() { l.returnPermit(used) }) }
 }
 
-func (l *Local) giveBack(used bool) {
+func (l *Local) returnPermit(used bool) {
 	l.mu.Lock()
 	if used {
 		l.queue.Release()
@@ -113,12 +115,12 @@
 		l.queue.Refund()
 	}
 	l.mu.Unlock()
-	l.wake()
+	l.notifyServe()
 }
 
-func (l *Local) wake() {
+func (l *Local) notifyServe() {
 	select {
-	case l.changed <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/loads/queue.go
+++ b/internal/loads/queue.go
@@ -6,34 +6,36 @@
 	"time"
 )
 
-// maxBurst is how many unused loads may be saved up, in seconds of the rate.
-const maxBurst = 1.0
+// maxBurstSeconds bounds the unused loads that may be saved up: at most as many as the rate allows in this many seconds, but one
+// in any case.
+const maxBurstSeconds = 1.0
 
-// Waiting is a need in a Queue.
+// Waiting is a queued need.
 type Waiting struct {
 	ID    uint64
 	Need  Need
 	Since time.Time
 }
 
-// Queue decides who gets the next permit; it does no I/O. One goroutine uses it.
+// Queue decides which need gets the next permit. It limits the rate with a token bucket. It does no I/O and is not safe for
+// concurrent use.
 type Queue struct {
-	budget  func() Budget
-	tokens  float64
-	filled  time.Time
-	running int
-	waiting []Waiting
+	budget       func() Budget
+	tokens       float64
+	lastRefill   time.Time
+	runningLoads int
+	waiting      []Waiting
 }
 
-// NewQueue returns a Queue that starts with one load to give; the budget is asked for at each decision.
+// NewQueue returns a Queue that allows one load immediately. It calls b for the current budget at each decision.
 func NewQueue(now time.Time, b func() Budget) *Queue {
-	return &Queue{budget: b, tokens: 1, filled: now}
+	return &Queue{budget: b, tokens: 1, lastRefill: now}
 }
 
-// Add puts a need in the queue: more urgent first, then the earlier latest start, then more waiters.
+// Add inserts a need into the queue. The order is: higher urgency first, then earlier StartBy, then more waiters.
 func (q *Queue) Add(w Waiting) {
-	at, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
-	q.waiting = slices.Insert(q.waiting, at, w)
+	index, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
+	q.waiting = slices.Insert(q.waiting, index, w)
 }
 
 func compareWaiting(a, b Waiting) int {
@@ -43,41 +45,42 @@
 	)
 }
 
-// Remove takes a need out and reports whether it was still waiting.
+// Remove removes a need from the queue and reports whether it was still waiting.
 func (q *Queue) Remove(id uint64) bool {
-	before := len(q.waiting)
+	lengthBefore := len(q.waiting)
 	q.waiting = slices.DeleteFunc(q.waiting, func(w Waiting) bool { return w.ID == id })
-	return len(q.waiting) < before
+	return len(q.waiting) < lengthBefore
 }
 
-// Release ends a load that had a permit.
-func (q *Queue) Release() { q.running = max(0, q.running-1) }
+// Release marks the load of a granted permit as ended.
+func (q *Queue) Release() { q.runningLoads = max(0, q.runningLoads-1) }
 
-// Refund takes back a permit that was not used.
+// Refund returns an unused permit, including its share of the rate.
 func (q *Queue) Refund() {
 	q.Release()
 	q.tokens++
 }
 
-// Next returns who gets a permit now, if any.
+// Next grants a permit to the first need in the queue and returns that need. It returns false if no permit can be granted now.
 func (q *Queue) Next(now time.Time) (Waiting, bool) {
-	q.fill(now)
-	if len(q.waiting) == 0 || q.running >= q.budget().AtOnce || q.tokens < 1 {
+	q.refill(now)
+	if len(q.waiting) == 0 || q.runningLoads >= q.budget().AtOnce || q.tokens < 1 {
 		return Waiting{}, false
 	}
 	w := q.waiting[0]
 	q.waiting = slices.Delete(q.waiting, 0, 1)
 	q.tokens--
-	q.running++
+	q.runningLoads++
 	return w, true
 }
 
-// Wait returns how long until Next can give a permit without a Release; zero or less means now, ok is false if only a Release helps.
+// Wait returns the time until Next can grant a permit without a Release; zero or less means now. It returns false if no need
+// waits or if only a Release can free a permit.
 func (q *Queue) Wait(now time.Time) (time.Duration, bool) {
-	if len(q.waiting) == 0 || q.running >= q.budget().AtOnce {
+	if len(q.waiting) == 0 || q.runningLoads >= q.budget().AtOnce {
 		return 0, false
 	}
-	q.fill(now)
+	q.refill(now)
 	if q.tokens >= 1 {
 		return 0, true
 	}
@@ -85,13 +88,14 @@
 	return time.Duration((1-q.tokens)/q.budget().PerSecond*float64(time.Second)) + slack, true
 }
 
-// Len returns how many needs wait.
+// Len returns the number of waiting needs.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-func (q *Queue) fill(now time.Time) {
-	if d := now.Sub(q.filled); d > 0 {
+// refill adds the tokens for the time since the last refill, up to the burst limit.
+func (q *Queue) refill(now time.Time) {
+	if elapsed := now.Sub(q.lastRefill); elapsed > 0 {
 		rate := q.budget().PerSecond
-		q.tokens = min(max(1, rate*maxBurst), q.tokens+d.Seconds()*rate)
-		q.filled = now
+		q.tokens = min(max(1, rate*maxBurstSeconds), q.tokens+elapsed.Seconds()*rate)
+		q.lastRefill = now
 	}
 }
--- a/internal/loads/shared.go
+++ b/internal/loads/shared.go
@@ -10,15 +10,15 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// FallbackShare is the part of a site's budget that boxes without a scheduler use together.
+// FallbackShare is the fraction of a site's budget that all boxes without a reachable scheduler use together.
 const FallbackShare = 0.5
 
-// HoldLimit is how long a remote permit may be held before it counts as given back.
-const HoldLimit = 2 * time.Minute
+// MaxPermitHold is how long a box may hold a permit of a remote scheduler. After that the permit counts as released.
+const MaxPermitHold = 2 * time.Minute
 
-// Remote asks the scheduler on another box. It is an interface at the network boundary.
+// Remote requests permits from the scheduler on another box. It is an interface at the network boundary.
 type Remote interface {
-	// AcquirePermit waits for a permit.
+	// AcquirePermit waits until the box at address grants a permit or ctx ends.
 	AcquirePermit(ctx context.Context, address string, n Need) (Permit, error)
 }
 
@@ -26,15 +26,16 @@
 type SharedConfig struct {
 	// Scheduler returns the peer address of the box that schedules this site's loads, and whether that is this box.
 	Scheduler func() (address string, self bool)
-	// Own is the scheduler of this box, used by the whole site while this box schedules.
+	// Own is the scheduler of this box. The whole site uses it while this box is the scheduler.
 	Own *Local
-	// Fallback gives out this box's fixed share while the scheduler cannot be reached.
+	// Fallback grants permits from this box's fixed share of the budget while the scheduler is unreachable.
 	Fallback *Local
 	Remote   Remote
 	Scope    tally.Scope
 }
 
-// Shared gives permits out of one budget for a whole site: one box at a time schedules, and a box that cannot reach it uses a fixed share.
+// Shared grants permits from one budget for a whole site. One box at a time is the scheduler; a box that cannot reach it uses a
+// fixed share of the budget.
 type Shared struct {
 	cfg SharedConfig
 }
@@ -55,7 +56,7 @@
 		if err == nil {
 			return permit, nil
 		}
-		// A scheduler that has nothing to give in time is no reason to go round it.
+		// Do not fall back if the scheduler answered that no permit is available in time, since that would bypass its limit.
 		if ctx.Err() != nil || result.Is(err, result.LoadBudget) {
 			return nil, errors.Join(ctx.Err(), err)
 		}
--- a/internal/loads/shared_test.go
+++ b/internal/loads/shared_test.go
@@ -15,33 +15,33 @@
 	"github.com/bellgap/bellgap/internal/loads"
 )
 
-// site is some boxes that share a weight store of 3 loads a second, 2 at once.
-type site struct {
-	scheduler *loads.Local
-	cut       atomic.Bool
-	running   atomic.Int64
-	peak      atomic.Int64
-	given     atomic.Int64
+// testSite simulates several boxes that share a weight store with a budget of 3 loads per second and 2 concurrent loads.
+type testSite struct {
+	scheduler   *loads.Local
+	unreachable atomic.Bool
+	running     atomic.Int64
+	maxRunning  atomic.Int64
+	granted     atomic.Int64
 }
 
 // AcquirePermit implements loads.Remote.
-func (s *site) AcquirePermit(ctx context.Context, _ string, n loads.Need) (loads.Permit, error) {
-	if s.cut.Load() {
-		return nil, errors.New("cut off")
+func (s *testSite) AcquirePermit(ctx context.Context, _ string, n loads.Need) (loads.Permit, error) {
+	if s.unreachable.Load() {
+		return nil, errors.New("scheduler is unreachable")
 	}
 	return s.scheduler.Acquire(ctx, n)
 }
 
-// box loads one adapter after the other, each for load.
-func (s *site) box(ctx context.Context, src loads.Source, load time.Duration) error {
+// runBox simulates a box that loads one adapter after the other. Each load takes loadTime.
+func (s *testSite) runBox(ctx context.Context, src loads.Source, loadTime time.Duration) error {
 	for {
 		permit, err := src.Acquire(ctx, loads.Need{StartBy: time.Now().Add(time.Minute)})
 		if err != nil {
 			return err
 		}
-		s.given.Add(1)
-		s.peak.Store(max(s.peak.Load(), s.running.Add(1)))
-		time.Sleep(load)
+		s.granted.Add(1)
+		s.maxRunning.Store(max(s.maxRunning.Load(), s.running.Add(1)))
+		time.Sleep(loadTime)
 		s.running.Add(-1)
 		permit(true)
 	}
@@ -52,20 +52,20 @@
 	const boxes = 7
 	for _, tt := range []struct {
 		name string
-		// cut takes the scheduler out of reach of all boxes but its own.
-		cut         bool
-		least, most int64
+		// unreachable makes the scheduler unreachable for all boxes except its own.
+		unreachable            bool
+		minGranted, maxGranted int64
 	}{
 		{"scheduler reachable", false, 170, 183},
-		{"scheduler out of reach", true, 150, 183 + 90},
+		{"scheduler unreachable", true, 150, 183 + 90},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			c := qt.New(t)
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
 			var group errgroup.Group
-			s := &site{scheduler: loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget { return budget }})}
-			s.cut.Store(tt.cut)
+			s := &testSite{scheduler: loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget { return budget }})}
+			s.unreachable.Store(tt.unreachable)
 			group.Go(func() error { return s.scheduler.Serve(ctx) })
 			for i := range boxes {
 				fallback := loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget {
@@ -76,13 +76,13 @@
 					Own: s.scheduler, Fallback: fallback, Remote: s, Scope: tally.NoopScope,
 					Scheduler: func() (string, bool) { return "box-0", i == 0 },
 				})
-				group.Go(func() error { return s.box(ctx, shared, 600*time.Millisecond) })
+				group.Go(func() error { return s.runBox(ctx, shared, 600*time.Millisecond) })
 			}
 			c.Check(group.Wait(), qt.ErrorIs, context.DeadlineExceeded)
-			t.Logf("%s: %d loads in a minute, %d at once", tt.name, s.given.Load(), s.peak.Load())
-			c.Check(s.given.Load() >= tt.least && s.given.Load() <= tt.most, qt.IsTrue, qt.Commentf("%d", s.given.Load()))
-			if !tt.cut {
-				c.Check(s.peak.Load(), qt.Equals, int64(2))
+			t.Logf("%s: %d loads in a minute, at most %d concurrent", tt.name, s.granted.Load(), s.maxRunning.Load())
+			c.Check(s.granted.Load() >= tt.minGranted && s.granted.Load() <= tt.maxGranted, qt.IsTrue, qt.Commentf("%d", s.granted.Load()))
+			if !tt.unreachable {
+				c.Check(s.maxRunning.Load(), qt.Equals, int64(2))
 			}
 		})
 	}
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -1,4 +1,5 @@
-// Package peer is the control protocol between boxes: heartbeats and changes, as HTTP with JSON.
+// Package peer implements the control protocol between boxes: JSON over HTTP for heartbeats, object lists and changes, and load
+// permits.
 package peer
 
 import (
@@ -23,19 +24,19 @@
 
 // Paths of the protocol.
 const (
-	PathBeat    = "/peer/beat"
-	PathBatch   = "/peer/beats"
-	PathList    = "/peer/list"
-	PathChanges = "/peer/changes"
-	PathPermit  = "/peer/permit"
-	PathRelease = "/peer/release"
-	PathLost    = "/peer/lost"
+	PathBeat        = "/peer/beat"
+	PathBatch       = "/peer/beats"
+	PathList        = "/peer/list"
+	PathChanges     = "/peer/changes"
+	PathPermit      = "/peer/permit"
+	PathRelease     = "/peer/release"
+	PathLostObjects = "/peer/lost"
 )
 
-// Limits of a call.
+// Limits of a call: its duration, apart from the wait that the caller requests, and the size of a message in bytes.
 const (
-	callTimeout = 2 * time.Second
-	maxMessage  = 64 << 20
+	callTimeout     = 2 * time.Second
+	maxMessageBytes = 64 << 20
 )
 
 // Client calls other boxes.
@@ -65,29 +66,29 @@
 	return r, err
 }
 
-// Lost returns what the box at address holds and the platform has lost.
+// Lost returns the objects that the box at address holds and that the platform has lost.
 func (c *Client) Lost(ctx context.Context, address string) ([]objects.Object, error) {
 	var lost []objects.Object
-	err := c.call(ctx, address, PathLost, callTimeout, struct{}{}, &lost)
+	err := c.call(ctx, address, PathLostObjects, callTimeout, struct{}{}, &lost)
 	return lost, err
 }
 
-// PermitAsk asks the scheduler for a load.
-type PermitAsk struct {
+// PermitRequest requests a load permit from the scheduler.
+type PermitRequest struct {
 	Need loads.Need `json:"need"`
-	// Wait is how long the asker waits.
+	// Wait is the maximum time that the caller waits for the permit.
 	Wait time.Duration `json:"wait"`
 }
 
-// PermitGiven names a permit, to give it back.
-type PermitGiven struct {
+// PermitResponse carries the ID of a granted permit, which is needed to release it.
+type PermitResponse struct {
 	ID string `json:"id"`
 }
 
-// PermitBack gives a permit back.
-type PermitBack struct {
+// PermitRelease releases a permit.
+type PermitRelease struct {
 	ID string `json:"id"`
-	// Used says that the permit was used for a load.
+	// Used is true if the permit was used for a load.
 	Used bool `json:"used"`
 }
 
@@ -95,24 +96,24 @@
 
 // AcquirePermit implements loads.Remote.
 func (c *Client) AcquirePermit(ctx context.Context, address string, n loads.Need) (loads.Permit, error) {
-	wait := maxWait
+	wait := maxClientWait
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = min(wait, clock.Until(deadline))
 	}
-	var given PermitGiven
-	if err := c.call(ctx, address, PathPermit, wait+callTimeout, PermitAsk{n, wait}, &given); err != nil {
+	var granted PermitResponse
+	if err := c.call(ctx, address, PathPermit, wait+callTimeout, PermitRequest{n, wait}, &granted); err != nil {
 		return nil, err
 	}
 	var once sync.Once
 	return func(used bool) {
 		once.Do(func() {
-			// A permit that cannot be given back runs out by itself.
-			_ = c.call(context.WithoutCancel(ctx), address, PathRelease, callTimeout, PermitBack{given.ID, used}, &struct{}{})
+			// An error is ignored, since the scheduler releases a permit by itself after loads.MaxPermitHold.
+			_ = c.call(context.WithoutCancel(ctx), address, PathRelease, callTimeout, PermitRelease{granted.ID, used}, &struct{}{})
 		})
 	}, nil
 }
 
-// Source returns the changes known to the box at address as a feed source.
+// Source returns a feed source that reads the objects and changes known to the box at address.
 func (c *Client) Source(address string) feed.Source { return source{c, address} }
 
 type source struct {
@@ -120,22 +121,22 @@
 	address string
 }
 
-// List implements feed.Source; another box's list is one page.
+// List implements feed.Source. The list of another box is always a single page.
 func (s source) List(ctx context.Context, _ []string, _ string) (objects.Changes, error) {
-	var ch objects.Changes
-	err := s.client.call(ctx, s.address, PathList, callTimeout, struct{}{}, &ch)
-	return ch, err
+	var list objects.Changes
+	err := s.client.call(ctx, s.address, PathList, callTimeout, struct{}{}, &list)
+	return list, err
 }
 
-// Authoritative implements feed.Source.
+// Authoritative implements feed.Source. It returns false, since the data of another box may be outdated.
 func (s source) Authoritative() bool { return false }
 
 // Watch implements feed.Source.
 func (s source) Watch(ctx context.Context, _ []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
-	var ch objects.Changes
+	var changes objects.Changes
 	path := PathChanges + "?from=" + strconv.FormatInt(int64(from), 10) + "&wait=" + wait.String()
-	err := s.client.call(ctx, s.address, path, wait+callTimeout, struct{}{}, &ch)
-	return ch, err
+	err := s.client.call(ctx, s.address, path, wait+callTimeout, struct{}{}, &changes)
+	return changes, err
 }
 
 func (c *Client) call(ctx context.Context, address, path string, timeout time.Duration, in, out any) error {
@@ -147,7 +148,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "peer: request")
+		return eris.Wrap(err, "peer: create request failed")
 	}
 	req.Header.Set("Accept-Encoding", encodingGzip)
 	if encoding != "" {
@@ -155,21 +156,21 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "peer: call")
+		return eris.Wrap(err, "peer: call failed")
 	}
 	defer httpx.Drain(resp.Body)
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return decode(resp.Body, resp.Header.Get("Content-Encoding"), maxMessage, out)
+		return decode(resp.Body, resp.Header.Get("Content-Encoding"), maxMessageBytes, out)
 	case http.StatusGone:
 		return objects.ErrGone
 	}
-	b, err := io.ReadAll(io.LimitReader(resp.Body, maxMessage))
+	b, err := io.ReadAll(io.LimitReader(resp.Body, maxMessageBytes))
 	if err != nil {
-		return eris.Wrap(err, "peer: answer")
+		return eris.Wrap(err, "peer: read response body failed")
 	}
 	if e, ok := result.Decode(b); ok {
 		return e
 	}
-	return eris.Errorf("peer: status %d", resp.StatusCode)
+	return eris.Errorf("peer: unexpected response status %d", resp.StatusCode)
 }
--- a/internal/peer/encoding_test.go
+++ b/internal/peer/encoding_test.go
@@ -18,7 +18,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// largeMap is the cell map of 300 boxes and 3,000 engines.
+// largeMap returns the cell map of 300 boxes and 3,000 engines.
 func largeMap() coordinator.Map {
 	m := coordinator.Map{Cell: "default", Generation: 7}
 	for i := range 300 {
@@ -30,7 +30,7 @@
 	return m
 }
 
-func newPeer(c *qt.C, batch func(coordinator.Batch) (coordinator.BatchReply, error)) (*httptest.Server, *peer.Client) {
+func startPeer(c *qt.C, batch func(coordinator.Batch) (coordinator.BatchReply, error)) (*httptest.Server, *peer.Client) {
 	mux := http.NewServeMux()
 	peer.NewHandler(peer.HandlerConfig{
 		Catalog: catalog.New(), Batch: batch,
@@ -41,16 +41,16 @@
 	return s, peer.NewClient(peer.ClientConfig{HTTP: &http.Client{}})
 }
 
-// TestLargeMessagesAreCompressed sends a batch and gets a whole map back, as an aggregator that has just started does.
+// TestLargeMessagesAreCompressed sends a batch and receives a whole map in reply, like an aggregator that has just started.
 func TestLargeMessagesAreCompressed(t *testing.T) {
 	c := qt.New(t)
-	whole := coordinator.Diff(coordinator.Map{}, largeMap())
-	var sent int64
-	s, client := newPeer(c, func(b coordinator.Batch) (coordinator.BatchReply, error) {
+	fullMap := coordinator.Diff(coordinator.Map{}, largeMap())
+	var sentBytes int64
+	s, client := startPeer(c, func(b coordinator.Batch) (coordinator.BatchReply, error) {
 		c.Check(b.Beats, qt.HasLen, 40)
-		return coordinator.BatchReply{News: coordinator.News{Map: &whole}}, nil
+		return coordinator.BatchReply{News: coordinator.News{Map: &fullMap}}, nil
 	})
-	s.Config.Handler = countBytes(s.Config.Handler, &sent)
+	s.Config.Handler = countBytes(s.Config.Handler, &sentBytes)
 	beat := coordinator.Beat{Member: largeMap().Members[0], Owned: largeMap().Owners[:10]}
 	var batch coordinator.Batch
 	for range 40 {
@@ -61,39 +61,40 @@
 	m, ok := reply.News.Map.Apply(coordinator.Map{})
 	c.Assert(ok, qt.IsTrue)
 	c.Check(m.Owners, qt.HasLen, 3000)
-	t.Logf("a map of %d B, by its own estimate, takes %d B", whole.Size(), sent)
-	c.Check(sent < int64(whole.Size())/4, qt.IsTrue)
+	t.Logf("a map with an estimated size of %d B was sent as %d B", fullMap.Size(), sentBytes)
+	c.Check(sentBytes < int64(fullMap.Size())/4, qt.IsTrue)
 }
 
 func countBytes(h http.Handler, sent *int64) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.ServeHTTP(&counter{w, sent}, r) })
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { h.ServeHTTP(&countingWriter{w, sent}, r) })
 }
 
-type counter struct {
+type countingWriter struct {
 	http.ResponseWriter
 	sent *int64
 }
 
-func (c *counter) Write(b []byte) (int, error) {
+func (c *countingWriter) Write(b []byte) (int, error) {
 	*c.sent += int64(len(b))
 	return c.ResponseWriter.Write(b)
 }
 
-// TestBadBatches: what is malformed, packed to burst or longer than any batch gets a numbered result and reaches nobody.
-func TestBadBatches(t *testing.T) {
+// TestInvalidBatchesAreRejected checks that a malformed batch, one that is too large uncompressed and one with too many
+// heartbeats get a result code and do not reach the batch function.
+func TestInvalidBatchesAreRejected(t *testing.T) {
 	c := qt.New(t)
-	s, _ := newPeer(c, func(coordinator.Batch) (coordinator.BatchReply, error) {
-		c.Error("a bad batch was taken in")
+	s, _ := startPeer(c, func(coordinator.Batch) (coordinator.BatchReply, error) {
+		c.Error("an invalid batch reached the batch function")
 		return coordinator.BatchReply{}, nil
 	})
 	for _, test := range []struct {
 		name, encoding string
 		body           []byte
 	}{
-		{"cut short", "", []byte(`{"box":"b","beats":[{`)},
-		{"not packed as it says", "gzip", []byte(`{"box":"b"}`)},
-		{"64 MB of blanks in 64 kB", "gzip", packed(c, []byte(strings.Repeat(" ", 64<<20)+`{"box":"b"}`))},
-		{"too many", "", []byte(`{"beats":[{}` + strings.Repeat(`,{}`, 1000) + `]}`)},
+		{"truncated JSON", "", []byte(`{"box":"b","beats":[{`)},
+		{"declared as gzip but not compressed", "gzip", []byte(`{"box":"b"}`)},
+		{"64 MB of spaces in 64 kB of gzip", "gzip", gzipped(c, []byte(strings.Repeat(" ", 64<<20)+`{"box":"b"}`))},
+		{"too many heartbeats", "", []byte(`{"beats":[{}` + strings.Repeat(`,{}`, 1000) + `]}`)},
 	} {
 		req, err := http.NewRequestWithContext(c.Context(), http.MethodPost, s.URL+peer.PathBatch, bytes.NewReader(test.body))
 		c.Assert(err, qt.IsNil)
@@ -105,7 +106,7 @@
 	}
 }
 
-func packed(c *qt.C, plain []byte) []byte {
+func gzipped(c *qt.C, plain []byte) []byte {
 	var b bytes.Buffer
 	w := gzip.NewWriter(&b)
 	_, err := w.Write(plain)
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -16,48 +16,53 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Bounds of what a handler takes.
+// Bounds of requests and replies; sizes are in bytes.
 const (
-	maxBeat = 256 << 10
-	// maxBeats is far more than an aggregator gathers in a window, maxBatch so many heartbeats of boxes with ten engines each.
-	maxBeats = 1000
-	maxBatch = 4 << 20
-	maxWait  = time.Minute
-	maxLost  = 10000
+	maxBeatBytes = 256 << 10
+	// maxBeatsPerBatch is far more than an aggregator collects in one window.
+	maxBeatsPerBatch = 1000
+	// maxBatchBytes has room for maxBeatsPerBatch heartbeats of boxes with ten engines each.
+	maxBatchBytes = 4 << 20
+	// maxClientWait bounds how long a request for changes or for a permit may wait.
+	maxClientWait  = time.Minute
+	maxLostObjects = 10000
 )
 
-// HandlerConfig configures the handlers.
+// HandlerConfig configures a Handler.
 type HandlerConfig struct {
 	Catalog *catalog.Catalog
-	// Beat answers a heartbeat or passes it on, Batch answers several that another box passes on.
-	Beat  func(context.Context, coordinator.Beat) (coordinator.Reply, error)
+	// Beat answers a heartbeat or forwards it.
+	Beat func(context.Context, coordinator.Beat) (coordinator.Reply, error)
+	// Batch answers heartbeats of several boxes that another box forwards.
 	Batch func(coordinator.Batch) (coordinator.BatchReply, error)
-	// Permits schedules the site's loads while Schedules says that this box does.
-	Permits   *loads.Local
+	// Permits schedules the loads of the site while this box is the scheduler.
+	Permits *loads.Local
+	// Schedules reports whether this box is the scheduler of its site.
 	Schedules func() bool
-	NewID     func() string
+	// NewID returns a unique ID for a permit.
+	NewID func() string
 }
 
-// Handler answers other boxes.
+// Handler serves the control protocol to other boxes.
 type Handler struct {
-	cfg  HandlerConfig
-	mu   sync.Mutex
-	held map[string]loads.Permit
+	cfg         HandlerConfig
+	mu          sync.Mutex
+	heldPermits map[string]loads.Permit
 }
 
 // NewHandler returns a Handler.
 func NewHandler(cfg HandlerConfig) *Handler {
-	return &Handler{cfg: cfg, held: map[string]loads.Permit{}}
+	return &Handler{cfg: cfg, heldPermits: map[string]loads.Permit{}}
 }
 
-// Register adds the control paths to mux.
+// Register adds the handlers of the protocol to mux.
 func (h *Handler) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+PathBeat, h.handleBeat)
 	mux.HandleFunc("POST "+PathBatch, h.handleBatch)
 	mux.HandleFunc("POST "+PathList, h.handleList)
 	mux.HandleFunc("POST "+PathChanges, h.handleChanges)
-	mux.HandleFunc("POST "+PathLost, func(w http.ResponseWriter, _ *http.Request) {
-		httpx.WriteJSON(w, http.StatusOK, h.cfg.Catalog.Unstored(maxLost))
+	mux.HandleFunc("POST "+PathLostObjects, func(w http.ResponseWriter, _ *http.Request) {
+		httpx.WriteJSON(w, http.StatusOK, h.cfg.Catalog.Unstored(maxLostObjects))
 	})
 	mux.HandleFunc("POST "+PathPermit, h.handlePermit)
 	mux.HandleFunc("POST "+PathRelease, h.handleRelease)
@@ -65,32 +70,32 @@
 
 func (h *Handler) handleBeat(w http.ResponseWriter, r *http.Request) {
 	var b coordinator.Beat
-	if err := decode(r.Body, r.Header.Get("Content-Encoding"), maxBeat, &b); err != nil {
+	if err := decode(r.Body, r.Header.Get("Content-Encoding"), maxBeatBytes, &b); err != nil {
 		result.New(result.BadRequest, "%v", err).Write(w, "")
 		return
 	}
 	reply, err := h.cfg.Beat(r.Context(), b)
-	h.reply(w, r, reply, err)
+	h.writeBeatReply(w, r, reply, err)
 }
 
 func (h *Handler) handleBatch(w http.ResponseWriter, r *http.Request) {
 	var b coordinator.Batch
-	if err := decode(r.Body, r.Header.Get("Content-Encoding"), maxBatch, &b); err != nil {
+	if err := decode(r.Body, r.Header.Get("Content-Encoding"), maxBatchBytes, &b); err != nil {
 		result.New(result.BadRequest, "%v", err).Write(w, "")
 		return
 	}
-	if len(b.Beats) > maxBeats {
-		result.New(result.BadRequest, "%d heartbeats in one batch, at most %d", len(b.Beats), maxBeats).Write(w, "")
+	if len(b.Beats) > maxBeatsPerBatch {
+		result.New(result.BadRequest, "%d heartbeats in one batch, at most %d", len(b.Beats), maxBeatsPerBatch).Write(w, "")
 		return
 	}
 	reply, err := h.cfg.Batch(b)
-	h.reply(w, r, reply, err)
+	h.writeBeatReply(w, r, reply, err)
 }
 
-// reply answers a heartbeat or a batch of them.
-func (h *Handler) reply(w http.ResponseWriter, r *http.Request, reply any, err error) {
+// writeBeatReply writes the reply to a heartbeat or a batch of heartbeats, or the error.
+func (h *Handler) writeBeatReply(w http.ResponseWriter, r *http.Request, reply any, err error) {
 	if err == nil {
-		err = answer(w, r, reply)
+		err = writeReply(w, r, reply)
 	}
 	if err != nil {
 		result.From(err, result.StaleBeat).Write(w, "")
@@ -103,28 +108,28 @@
 
 func (h *Handler) handleChanges(w http.ResponseWriter, r *http.Request) {
 	from, err := strconv.ParseInt(r.FormValue("from"), 10, 64)
-	wait, errWait := time.ParseDuration(r.FormValue("wait"))
-	if err := errors.Join(err, errWait); err != nil {
+	wait, waitErr := time.ParseDuration(r.FormValue("wait"))
+	if err := errors.Join(err, waitErr); err != nil {
 		result.New(result.BadRequest, "%v", err).Write(w, "")
 		return
 	}
-	timeout := time.NewTimer(min(wait, maxWait))
+	timeout := time.NewTimer(min(wait, maxClientWait))
 	defer timeout.Stop()
 	for {
 		changed := h.cfg.Catalog.Changed()
-		ch, err := h.cfg.Catalog.Since(objects.Position(from))
+		changes, err := h.cfg.Catalog.Since(objects.Position(from))
 		if errors.Is(err, objects.ErrGone) {
 			http.Error(w, err.Error(), http.StatusGone)
 			return
 		}
-		if ch.Revision > objects.Position(from) {
-			httpx.WriteJSON(w, http.StatusOK, ch)
+		if changes.Revision > objects.Position(from) {
+			httpx.WriteJSON(w, http.StatusOK, changes)
 			return
 		}
 		select {
 		case <-changed:
 		case <-timeout.C:
-			httpx.WriteJSON(w, http.StatusOK, ch)
+			httpx.WriteJSON(w, http.StatusOK, changes)
 			return
 		case <-r.Context().Done():
 			return
--- a/internal/peer/permit.go
+++ b/internal/peer/permit.go
@@ -10,46 +10,46 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// handlePermit waits for a permit on behalf of another box and keeps it until it is given back or runs out.
+// handlePermit acquires a permit for another box and holds it until that box releases it or loads.MaxPermitHold has passed.
 func (h *Handler) handlePermit(w http.ResponseWriter, r *http.Request) {
-	var ask PermitAsk
-	if !result.ReadJSON(w, r, maxBeat, &ask) {
+	var req PermitRequest
+	if !result.ReadJSON(w, r, maxBeatBytes, &req) {
 		return
 	}
 	if !h.cfg.Schedules() {
 		result.New(result.StaleBeat, "this box does not schedule loads").Write(w, "")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), min(ask.Wait, maxWait))
+	ctx, cancel := context.WithTimeout(r.Context(), min(req.Wait, maxClientWait))
 	defer cancel()
-	permit, err := h.cfg.Permits.Acquire(ctx, ask.Need)
+	permit, err := h.cfg.Permits.Acquire(ctx, req.Need)
 	if err != nil {
 		result.New(result.LoadBudget, "%v", err).Write(w, "")
 		return
 	}
 	id := h.cfg.NewID()
 	h.mu.Lock()
-	h.held[id] = permit
+	h.heldPermits[id] = permit
 	h.mu.Unlock()
-	time.AfterFunc(loads.HoldLimit, func() { h.release(PermitBack{ID: id, Used: true}) })
-	httpx.WriteJSON(w, http.StatusOK, PermitGiven{id})
+	time.AfterFunc(loads.MaxPermitHold, func() { h.releasePermit(PermitRelease{ID: id, Used: true}) })
+	httpx.WriteJSON(w, http.StatusOK, PermitResponse{id})
 }
 
 func (h *Handler) handleRelease(w http.ResponseWriter, r *http.Request) {
-	var back PermitBack
-	if !result.ReadJSON(w, r, maxBeat, &back) {
+	var release PermitRelease
+	if !result.ReadJSON(w, r, maxBeatBytes, &release) {
 		return
 	}
-	h.release(back)
+	h.releasePermit(release)
 	httpx.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
-func (h *Handler) release(back PermitBack) {
+func (h *Handler) releasePermit(release PermitRelease) {
 	h.mu.Lock()
-	permit, ok := h.held[back.ID]
-	delete(h.held, back.ID)
+	permit, ok := h.heldPermits[release.ID]
+	delete(h.heldPermits, release.ID)
 	h.mu.Unlock()
 	if ok {
-		permit(back.Used)
+		permit(release.Used)
 	}
 }
