--- a/internal/quarantine/client.go
+++ b/internal/quarantine/client.go
@@ -281,7 +281,7 @@
 	defer cancel()
 	var reply []Case
 	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+address.String()+path, cases, &reply)
-	return reply, eris.Wrap(err, "quarantine: call")
+	return reply, eris.Wrap(err, "quarantine: call to another box failed")
 }
 
 func (c *Client) sendCleared(ctx context.Context, to netip.AddrPort, all []Case) {
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -44,8 +44,8 @@
 // entry is a case with the state that only this box keeps about it.
 type entry struct {
 	Case
-	// updatedAt is when the case last changed on this box or was in a new cell map. heldAt is when the request became held, or
-	// zero if it is not held.
+	// updatedAt is when the case last changed on this box or was in a new cell map. heldAt is when the request became held,
+	// or zero if too few crashes count.
 	updatedAt time.Time
 	heldAt    time.Time
 	// published is set if the newest cell map contains the request. The map then takes precedence over the clock of this box.
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -1,5 +1,5 @@
-// Package quota bounds what each customer uses over all boxes. One box at a time is accountable for a customer and grants its units to
-// the others; a box that cannot ask it goes by a share of its own.
+// Package quota limits what each customer uses on all boxes together. One box at a time is accountable for a customer and grants
+// units to the other boxes. A box that cannot reach the accountable box uses a fixed share of the quota.
 package quota
 
 import (
@@ -8,32 +8,33 @@
 	"github.com/bellgap/bellgap/internal/customer"
 )
 
-// leastSaved is for how long a bucket saves up at least, where the declared burst is less: a bound without any burst would refuse
-// requests that arrive together though the rate allows them.
-const leastSaved = 100 * time.Millisecond
+// minSavedTime is the time at the rate of the quota that a bucket can save up even if the declared burst is smaller. Without any
+// burst, requests that arrive together would be refused although the rate allows them.
+const minSavedTime = 100 * time.Millisecond
 
-// bucket holds the units of one customer that are free. It may owe units: a request larger than the bucket passes when that is full.
+// bucket contains the available units of one customer. Its level may be negative: a request larger than the bucket is admitted
+// when the bucket is full.
 type bucket struct {
-	level float64
-	at    time.Time
+	level     float64
+	updatedAt time.Time
 }
 
-// most returns how many units a bucket of a quota holds.
-func most(q customer.Quota) float64 { return max(q.Burst, q.Rate*leastSaved.Seconds()) }
+// capacity returns how many units a bucket for a quota can contain.
+func capacity(q customer.Quota) float64 { return max(q.Burst, q.Rate*minSavedTime.Seconds()) }
 
-// fill adds what has become free by now. A quota that was lowered binds at once.
-func (b *bucket) fill(now time.Time, q customer.Quota) {
-	if elapsed := now.Sub(b.at); elapsed > 0 {
+// refill adds the units that have become available since the last refill. A lowered quota limits the level at once.
+func (b *bucket) refill(now time.Time, q customer.Quota) {
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
 		b.level += q.Rate * elapsed.Seconds()
-		b.at = now
+		b.updatedAt = now
 	}
-	b.level = min(b.level, most(q))
+	b.level = min(b.level, capacity(q))
 }
 
-// take takes units if there are as many. The wait is how long it takes until there are.
+// take takes units if enough are available. Otherwise, wait is how long it takes until they are.
 func (b *bucket) take(now time.Time, q customer.Quota, units float64) (wait time.Duration, ok bool) {
-	b.fill(now, q)
-	if missing := min(units, most(q)) - b.level; missing > 0 {
+	b.refill(now, q)
+	if missing := min(units, capacity(q)) - b.level; missing > 0 {
 		return time.Duration(missing / q.Rate * float64(time.Second)), false
 	}
 	b.level -= units
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -20,21 +20,22 @@
 
 const (
 	pathTake = "/peer/quota"
-	// askTimeout bounds an ask: a round trip between zones takes 3 ms, on a busy box some 50.
-	askTimeout = 200 * time.Millisecond
-	// silentFor is how long a box that did not answer is not asked.
-	silentFor = 500 * time.Millisecond
-	// maxHolders bounds the customers that a box holds units of.
-	maxHolders = 8192
-	// unknownBoxes stands for the number of boxes while none is known.
-	unknownBoxes = 64
+	// requestTimeout limits a call to the accountable box: a round trip between zones takes 3 ms, on a busy box about 50 ms.
+	requestTimeout = 200 * time.Millisecond
+	// unresponsivePause is how long a box that did not answer is not called again.
+	unresponsivePause = 500 * time.Millisecond
+	// maxAllowances limits the customers for which a box keeps an allowance.
+	maxAllowances = 8192
+	// defaultBoxes is the assumed number of boxes while the number is unknown.
+	defaultBoxes = 64
 )
 
-// Accountable says which box is accountable for a customer now. It is an interface at the boundary to membership.
+// Accountable provides the box that is currently accountable for a customer. It separates this package from the membership.
 type Accountable interface {
-	// For returns the address of the box that is accountable, and whether it is this one; ok is false if there is none.
+	// For returns the address of the box that is accountable for a customer, and whether it is this box. ok is false if no box is
+	// accountable.
 	For(name string) (address netip.AddrPort, here, ok bool)
-	// Boxes returns how many boxes there are, zero if that is not known.
+	// Boxes returns the number of boxes, or zero if it is unknown.
 	Boxes() int
 }
 
@@ -42,112 +43,112 @@
 type ClientConfig struct {
 	HTTP        *http.Client
 	Accountable Accountable
-	// Ledger is that of this box.
+	// Ledger grants the units of the customers for which this box is accountable.
 	Ledger *Ledger
 	Scope  tally.Scope
 }
 
-// Client takes units for the requests of this box.
+// Client takes units of quotas for the requests of this box.
 type Client struct {
-	cfg    ClientConfig
-	silent *recent.Set[netip.AddrPort]
-	mu     sync.Mutex
-	// holders are those of the customers, by name.
-	holders map[string]*holder
+	cfg          ClientConfig
+	unresponsive *recent.Set[netip.AddrPort]
+	mu           sync.Mutex
+	// allowances contains the allowances of the customers by name.
+	allowances map[string]*allowance
 }
 
 // NewClient returns a Client.
 func NewClient(cfg ClientConfig) *Client {
-	return &Client{cfg: cfg, silent: recent.New[netip.AddrPort](silentFor), holders: map[string]*holder{}}
+	return &Client{cfg: cfg, unresponsive: recent.New[netip.AddrPort](unresponsivePause), allowances: map[string]*allowance{}}
 }
 
-func (c *Client) holder(name string) *holder {
+func (c *Client) allowance(name string) *allowance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.holders[name]
-	if h == nil {
-		if len(c.holders) >= maxHolders {
-			clear(c.holders)
+	a := c.allowances[name]
+	if a == nil {
+		if len(c.allowances) >= maxAllowances {
+			clear(c.allowances)
 		}
-		h = &holder{}
-		c.holders[name] = h
+		a = &allowance{}
+		c.allowances[name] = a
 	}
-	return h
+	return a
 }
 
-// Take takes the units of one request. The error is a QuotaSpent that says when to come back.
-func (c *Client) Take(ctx context.Context, who *customer.Customer, units float64) *result.Error {
-	if !who.Quota.Limited() || units <= 0 {
+// Take takes the units of one request. If the quota is used up, the error is a QuotaSpent with the time after which to retry.
+func (c *Client) Take(ctx context.Context, cust *customer.Customer, units float64) *result.Error {
+	if !cust.Quota.Limited() || units <= 0 {
 		return nil
 	}
-	h := c.holder(who.Name)
-	ask, wait, ok := h.use(clock.Now(), who.Name, units)
+	a := c.allowance(cust.Name)
+	req, wait, ok := a.takeGranted(clock.Now(), cust.Name, units)
 	if ok {
 		return nil
 	}
 	if wait > 0 {
-		return c.spent(who, "refused lately", wait)
+		return c.quotaSpent(cust, "refused by this box shortly after a refusal", wait)
 	}
-	answer, err := c.ask(ctx, who, ask)
+	reply, err := c.request(ctx, cust, req)
 	if err != nil && ctx.Err() != nil {
-		h.giveBack(-ask.Owed)
+		a.giveBack(-req.Owed)
 		return result.New(result.CallerGone, "%v", context.Cause(ctx))
 	}
 	if err == nil {
-		if h.answered(clock.Now(), ask, answer) {
+		if a.applyReply(clock.Now(), req, reply) {
 			return nil
 		}
-		return c.spent(who, "refused by the accountable box", answer.Wait)
+		return c.quotaSpent(cust, "refused by the accountable box", reply.Wait)
 	}
 	c.cfg.Scope.Counter("quota_unanswered").Inc(1)
-	klog.V(2).InfoS("quota by this box's own share", "customer", who.Name, "err", err)
-	if wait, ok = h.unanswered(clock.Now(), who.Quota, ask, c.boxes()); ok {
+	klog.V(2).InfoS("accountable box not reached; using this box's share of the quota", "customer", cust.Name, "err", err)
+	if wait, ok = a.takeFallback(clock.Now(), cust.Quota, req, c.boxes()); ok {
 		return nil
 	}
-	return c.spent(who, "this box's own share is used up", wait)
+	return c.quotaSpent(cust, "this box's share of the quota is used up", wait)
 }
 
 func (c *Client) boxes() int {
 	if n := c.cfg.Accountable.Boxes(); n > 0 {
 		return n
 	}
-	return unknownBoxes
+	return defaultBoxes
 }
 
-// GiveBack returns the units of a request that never ran.
-func (c *Client) GiveBack(who *customer.Customer, units float64) {
-	if who.Quota.Limited() && units > 0 {
-		c.holder(who.Name).giveBack(units)
+// GiveBack returns the units of a request that was not run.
+func (c *Client) GiveBack(cust *customer.Customer, units float64) {
+	if cust.Quota.Limited() && units > 0 {
+		c.allowance(cust.Name).giveBack(units)
 	}
 }
 
-func (c *Client) spent(who *customer.Customer, why string, wait time.Duration) *result.Error {
-	rerr := result.New(result.QuotaSpent, "%s: %s", who.Name, why)
+func (c *Client) quotaSpent(cust *customer.Customer, reason string, wait time.Duration) *result.Error {
+	rerr := result.New(result.QuotaSpent, "%s: %s", cust.Name, reason)
 	rerr.RetryAfter = min(max(wait, time.Millisecond), maxWait)
 	return rerr
 }
 
-// ask asks the accountable box. One that does not answer is not asked again for a while.
-func (c *Client) ask(ctx context.Context, who *customer.Customer, a Ask) (Answer, error) {
-	address, here, ok := c.cfg.Accountable.For(who.Name)
+// request takes units from the accountable box. A box that did not answer is not called again for unresponsivePause.
+func (c *Client) request(ctx context.Context, cust *customer.Customer, req TakeRequest) (TakeReply, error) {
+	address, here, ok := c.cfg.Accountable.For(cust.Name)
 	switch {
 	case !ok:
-		return Answer{}, eris.New("quota: no box is accountable")
+		return TakeReply{}, eris.New("quota: no box is accountable")
 	case here:
-		return c.cfg.Ledger.Take(clock.Now(), who.Quota, a), nil
-	case c.silent.Has(address, clock.Now()):
-		return Answer{}, eris.Errorf("quota: %s did not answer lately", address)
+		return c.cfg.Ledger.Take(clock.Now(), cust.Quota, req), nil
+	case c.unresponsive.Has(address, clock.Now()):
+		return TakeReply{}, eris.Errorf("quota: box %s did not answer recently", address)
 	}
-	return c.call(ctx, address, a)
+	return c.call(ctx, address, req)
 }
 
-func (c *Client) call(ctx context.Context, address netip.AddrPort, a Ask) (Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) call(ctx context.Context, address netip.AddrPort, req TakeRequest) (TakeReply, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	var answer Answer
-	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+address.String()+pathTake, a, &answer)
+	var reply TakeReply
+	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+address.String()+pathTake, req, &reply)
 	if httpx.IsUnanswered(err) {
-		c.silent.Add(address, clock.Now())
+		c.unresponsive.Add(address, clock.Now())
 	}
-	return answer, eris.Wrap(err, "quota: call")
+	return reply, eris.Wrap(err, "quota: call to the accountable box failed")
 }
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -9,26 +9,28 @@
 )
 
 const (
-	// maxWait bounds when a refused request is told to come back.
+	// maxWait limits the time after which a refused request is told to retry.
 	maxWait = 5 * time.Second
-	// maxAccounts bounds the customers that a ledger remembers; beyond it those whose buckets are full are dropped.
+	// maxAccounts limits the accounts of a ledger. When it is reached, the accounts that have not been used for maxWait are
+	// dropped.
 	maxAccounts = 8192
 )
 
-// Ask asks the accountable box for units.
-type Ask struct {
+// TakeRequest requests units from the accountable box.
+type TakeRequest struct {
 	Customer string `json:"customer"`
-	// Need is what one request takes, Ahead what the asker will probably need soon beside that.
+	// Need is the number of units that one request takes. Ahead is the number of units that the sender will probably need soon in
+	// addition.
 	Need  float64 `json:"need"`
 	Ahead float64 `json:"ahead,omitempty"`
-	// Owed is what the asker has used without a grant, less what it was granted and did not use.
+	// Owed is the number of units that the sender has used without a grant, less the units that it was granted and did not use.
 	Owed float64 `json:"owed,omitempty"`
 }
 
-// Answer says what was granted: nothing, Need, or Need and Ahead.
-type Answer struct {
+// TakeReply is the reply to a TakeRequest. Granted is zero, Need, or the sum of Need and Ahead.
+type TakeReply struct {
 	Granted float64 `json:"granted"`
-	// Wait is how long to come back after, if nothing was granted.
+	// Wait is the time after which to retry if nothing was granted.
 	Wait time.Duration `json:"wait,omitempty"`
 }
 
@@ -37,14 +39,14 @@
 	Bounds Bounds
 }
 
-// Ledger holds the buckets of the customers for which this box is accountable.
+// Ledger contains the buckets of the customers for which this box is accountable.
 type Ledger struct {
 	cfg      LedgerConfig
 	mu       sync.Mutex
 	accounts map[string]*account
 }
 
-// account is a customer's bucket, and when refused requests have been told to come back.
+// account contains a customer's bucket, and the retry times that refused requests were given.
 type account struct {
 	bucket
 	turns turn.Turns
@@ -55,42 +57,43 @@
 	return &Ledger{cfg: cfg, accounts: map[string]*account{}}
 }
 
-// Take answers an ask under the customer's quota.
-func (l *Ledger) Take(now time.Time, q customer.Quota, a Ask) Answer {
+// Take grants or refuses the units of a request under the customer's quota.
+func (l *Ledger) Take(now time.Time, q customer.Quota, req TakeRequest) TakeReply {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	q, opening := l.cfg.Bounds.bucketOf(q)
-	acct := l.account(now, a.Customer, opening)
-	acct.fill(now, q)
-	acct.level = min(acct.level-a.Owed, most(q))
-	wait, ok := acct.take(now, q, a.Need)
+	q, initialUnits := l.cfg.Bounds.bucketFor(q)
+	acct := l.account(now, req.Customer, initialUnits)
+	acct.refill(now, q)
+	acct.level = min(acct.level-req.Owed, capacity(q))
+	wait, ok := acct.take(now, q, req.Need)
 	if !ok {
-		own := time.Duration(a.Need / q.Rate * float64(time.Second))
-		return Answer{Wait: min(wait+acct.turns.Take(now, own, maxWait), maxWait)}
+		ownTime := time.Duration(req.Need / q.Rate * float64(time.Second))
+		return TakeReply{Wait: min(wait+acct.turns.Take(now, ownTime, maxWait), maxWait)}
 	}
-	if a.Ahead > 0 && acct.level >= a.Ahead {
-		acct.level -= a.Ahead
-		return Answer{Granted: a.Need + a.Ahead}
+	if req.Ahead > 0 && acct.level >= req.Ahead {
+		acct.level -= req.Ahead
+		return TakeReply{Granted: req.Need + req.Ahead}
 	}
-	return Answer{Granted: a.Need}
+	return TakeReply{Granted: req.Need}
 }
 
-func (l *Ledger) account(now time.Time, name string, opening float64) *account {
+// account returns the account of a customer, and creates it with the initial units if it is missing.
+func (l *Ledger) account(now time.Time, name string, initialUnits float64) *account {
 	acct := l.accounts[name]
 	if acct == nil {
 		if len(l.accounts) >= maxAccounts {
-			l.forget(now)
+			l.dropIdleAccounts(now)
 		}
-		acct = &account{bucket: bucket{level: opening, at: now}}
+		acct = &account{bucket: bucket{level: initialUnits, updatedAt: now}}
 		l.accounts[name] = acct
 	}
 	return acct
 }
 
-// forget drops the buckets that nobody has used for longer than they take to say anything.
-func (l *Ledger) forget(now time.Time) {
+// dropIdleAccounts drops the accounts that have not been used for maxWait. By then, their earlier use no longer affects replies.
+func (l *Ledger) dropIdleAccounts(now time.Time) {
 	for name, acct := range l.accounts {
-		if now.Sub(acct.at) > maxWait {
+		if now.Sub(acct.updatedAt) > maxWait {
 			delete(l.accounts, name)
 		}
 	}
