--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,4 +1,4 @@
-// Package body reads the bodies of requests within bounds of size and time.
+// Package body reads request bodies with limits on size and time.
 package body
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Limits bound a body.
+// Limits are the limits on a request body.
 type Limits struct {
-	// Bytes is the largest size.
+	// Bytes is the maximum size.
 	Bytes int64
-	// Time is the longest time for it to arrive.
+	// Time is the maximum time for the whole body to arrive.
 	Time time.Duration
 }
 
-// Read reads a request's whole body.
+// Read reads the whole body of a request, or returns an error if it exceeds the limits.
 func Read(w http.ResponseWriter, r *http.Request, l Limits) ([]byte, *result.Error) {
 	if r.ContentLength > l.Bytes {
 		return nil, result.New(result.BodyTooLarge, "%d bytes, at most %d", r.ContentLength, l.Bytes)
 	}
 	rc := http.NewResponseController(w)
-	// A connection without deadlines still has the bound on the header.
+	// If the connection does not support deadlines, only the server's time limit on the request header applies.
 	_ = rc.SetReadDeadline(time.Now().Add(l.Time))
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, l.Bytes))
 	_ = rc.SetReadDeadline(time.Time{})
@@ -38,6 +38,6 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return nil, result.New(result.SlowBody, "at most %s", l.Time)
 	default:
-		return nil, result.New(result.BadRequest, "body: %v", err)
+		return nil, result.New(result.BadRequest, "reading the request body failed: %v", err)
 	}
 }
--- a/internal/body/body_test.go
+++ b/internal/body/body_test.go
@@ -21,9 +21,9 @@
 		want result.Code
 	}{
 		{"whole", func() io.Reader { return strings.NewReader("12345678") }, result.OK},
-		{"too large by its length", func() io.Reader { return strings.NewReader("123456789") }, result.BodyTooLarge},
-		{"too large without a length", func() io.Reader { return io.MultiReader(strings.NewReader("12345"), strings.NewReader("6789")) }, result.BodyTooLarge},
-		{"one that does not come", func() io.Reader { r, _ := io.Pipe(); return r }, result.SlowBody},
+		{"content length too large", func() io.Reader { return strings.NewReader("123456789") }, result.BodyTooLarge},
+		{"body too large without content length", func() io.Reader { return io.MultiReader(strings.NewReader("12345"), strings.NewReader("6789")) }, result.BodyTooLarge},
+		{"body does not arrive", func() io.Reader { r, _ := io.Pipe(); return r }, result.SlowBody},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,9 @@
-// Package clock tells how much time has passed, including the time for which the box was suspended.
+// Package clock measures elapsed time, including the time for which the box was suspended.
 //
-// The steady clock of the runtime stands still with a suspended box, so that a box would believe its lease, its grants and what it heard to be younger than
-// they are by that time. Whatever decides by elapsed time reads this clock; what only measures or waits within a call may read the runtime's. Timers
-// sleep through a suspension, so what they guard is looked at again when something is done. The time of day decides nothing.
+// The monotonic clock of the Go runtime stops while the box is suspended. By that clock, the lease, the grants and the received messages of a box would
+// seem younger than they are. All decisions that depend on elapsed time must therefore use this package. Code that only measures a duration or waits
+// within a call may use the runtime's clock. Timers do not advance during a suspension, so code that depends on a timer must check this clock again
+// before it acts. No decision depends on the time of day.
 package clock
 
 import (
@@ -13,85 +14,88 @@
 	"k8s.io/klog/v2"
 )
 
-// lookEvery is the least time between two looks at the counting clock. A look costs two system calls, 0.2 us where these are cheap; a suspended box is at most
-// this long awake before it knows.
-const lookEvery = 2 * time.Millisecond
+// minReadInterval is the minimum time between two reads of the boot-time clock. A read takes two system calls, 0.2 us where system calls are cheap.
+// After a suspension, the box detects it within this time.
+const minReadInterval = 2 * time.Millisecond
 
-// grain is the least time that counts as suspended: the two clocks cannot be read at the same moment, and a thread may lose its turn between.
-const grain = 10 * time.Millisecond
+// granularity is the shortest suspension that is counted. Smaller differences are ignored: the two clocks cannot be read at the same moment,
+// and the thread may be preempted between the two reads.
+const granularity = 10 * time.Millisecond
 
-// skew is a clock that counts suspended time, held against the steady one.
-type skew struct {
-	// read returns how far the counting clock is ahead of the steady one, never more than it is.
-	read func() (time.Duration, bool)
-	// start and first are the moment and the difference at the beginning.
-	start time.Time
-	first time.Duration
-	// looked is when the counting clock was last read, since start; suspended is how long the box has stood still since then, shifted what a test adds.
-	looked    atomic.Int64
+// suspendClock measures the suspended time by comparing the boot-time clock, which includes it, with the monotonic clock, which does not.
+type suspendClock struct {
+	// readOffset returns how far the boot-time clock is ahead of the monotonic clock. It may return too little, but never too much.
+	readOffset func() (time.Duration, bool)
+	// start is the time at which the suspendClock was created, initialOffset the offset at that time.
+	start         time.Time
+	initialOffset time.Duration
+	// lastRead is the time of the last read of the boot-time clock, suspended the total suspended time, both since start.
+	// testShift is the time that tests add by Shift.
+	lastRead  atomic.Int64
 	suspended atomic.Int64
-	shifted   atomic.Int64
+	testShift atomic.Int64
 }
 
-// process is the clock of this process.
-var process = newSkew(readSkew)
+// processClock is the clock of this process.
+var processClock = newSuspendClock(readClockOffset)
 
-func newSkew(read func() (time.Duration, bool)) *skew {
-	first, ok := read()
+func newSuspendClock(readOffset func() (time.Duration, bool)) *suspendClock {
+	initialOffset, ok := readOffset()
 	if !ok {
-		klog.InfoS("no clock that counts suspended time; the steady one is taken")
+		klog.InfoS("boot-time clock not available; suspended time is not counted")
 	}
-	return &skew{read: read, start: time.Now(), first: first}
+	return &suspendClock{readOffset: readOffset, start: time.Now(), initialOffset: initialOffset}
 }
 
-// readSkew reads both clocks. The steady one is read last: whatever passes between the two makes the difference smaller, never larger.
-func readSkew() (time.Duration, bool) {
-	var counting, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+// readClockOffset returns the difference of the two clocks. It reads the monotonic clock last, so that a delay between the two reads can only make
+// the difference smaller.
+func readClockOffset() (time.Duration, bool) {
+	var boottime, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boottime) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0, false
 	}
-	return time.Duration(counting.Nano() - steady.Nano()), true
+	return time.Duration(boottime.Nano() - monotonic.Nano()), true
 }
 
-// now returns the present time with the suspended time added to its steady reading.
-func (s *skew) now() time.Time {
+// now returns the current time with the suspended time added to its monotonic reading.
+func (s *suspendClock) now() time.Time {
 	t := time.Now()
 	since := int64(t.Sub(s.start))
-	if last := s.looked.Load(); since-last >= int64(lookEvery) || since < last {
-		s.look(since)
+	if last := s.lastRead.Load(); since-last >= int64(minReadInterval) || since < last {
+		s.update(since)
 	}
-	return t.Add(time.Duration(s.suspended.Load() + s.shifted.Load()))
+	return t.Add(time.Duration(s.suspended.Load() + s.testShift.Load()))
 }
 
-// look reads the counting clock. Time that has counted is never taken back.
-func (s *skew) look(since int64) {
-	s.looked.Store(since)
-	ahead, ok := s.read()
+// update reads the boot-time clock and updates the suspended time, which never decreases.
+func (s *suspendClock) update(since int64) {
+	s.lastRead.Store(since)
+	offset, ok := s.readOffset()
 	if !ok {
 		return
 	}
 	for {
-		had, now := s.suspended.Load(), int64((ahead - s.first).Truncate(grain))
-		if now <= had || s.suspended.CompareAndSwap(had, now) {
+		counted, suspended := s.suspended.Load(), int64((offset - s.initialOffset).Truncate(granularity))
+		if suspended <= counted || s.suspended.CompareAndSwap(counted, suspended) {
 			return
 		}
 	}
 }
 
-// Now returns the present time. It compares with other readings of this package only: the runtime's clock is behind by the time that the box was suspended.
-func Now() time.Time { return process.now() }
+// Now returns the current time. Compare it only with other times from this package: the runtime's clock is behind by the suspended time.
+func Now() time.Time { return processClock.now() }
 
-// Since returns the time since a reading.
+// Since returns the time elapsed since t, which must come from this package.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns the time until a reading will come.
+// Until returns the time left until t, which must be derived from a time of this package.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Suspended returns how long the box has been suspended since the process began.
+// Suspended returns the total time for which the box has been suspended since the process started.
 func Suspended() time.Duration {
-	process.now()
-	return time.Duration(process.suspended.Load() + process.shifted.Load())
+	processClock.now()
+	return time.Duration(processClock.suspended.Load() + processClock.testShift.Load())
 }
 
-// Shift makes the process believe that the box was suspended for some time just now. It is for tests alone.
-func Shift(d time.Duration) { process.shifted.Add(int64(d)) }
+// Shift simulates a suspension of the box for d. Only tests may use it.
+func Shift(d time.Duration) { processClock.testShift.Add(int64(d)) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,29 +12,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestSuspendedTimeCounts drives the two clocks apart.
-func TestSuspendedTimeCounts(t *testing.T) {
+// TestSuspendedTimeIsIncluded changes the offset between the two clocks, as a suspension of the box does.
+func TestSuspendedTimeIsIncluded(t *testing.T) {
 	c := qt.New(t)
-	ahead, known := 5*time.Second, true
-	s := newSkew(func() (time.Duration, bool) { return ahead, known })
+	offset, readable := 5*time.Second, true
+	s := newSuspendClock(func() (time.Duration, bool) { return offset, readable })
 	before := s.now()
 	for _, test := range []struct {
-		name  string
-		ahead time.Duration
-		known bool
-		want  time.Duration
+		name     string
+		offset   time.Duration
+		readable bool
+		want     time.Duration
 	}{
-		{"nothing happened", 5 * time.Second, true, 0},
+		{"no suspension", 5 * time.Second, true, 0},
 		{"suspended for eight seconds", 13 * time.Second, true, 8 * time.Second},
-		{"a reading that was held up is behind", 12 * time.Second, true, 8 * time.Second},
-		{"no reading", 0, false, 8 * time.Second},
+		{"a delayed read returns a smaller offset", 12 * time.Second, true, 8 * time.Second},
+		{"clock not readable", 0, false, 8 * time.Second},
 		{"suspended again", 14 * time.Second, true, 9 * time.Second},
 	} {
-		ahead, known = test.ahead, test.known
-		time.Sleep(2 * lookEvery)
+		offset, readable = test.offset, test.readable
+		time.Sleep(2 * minReadInterval)
 		got := s.now().Sub(before)
-		steady := time.Since(before)
-		c.Check(got-steady >= test.want-time.Millisecond && got-steady <= test.want+time.Second, qt.IsTrue, qt.Commentf("%s: %s", test.name, got))
+		monotonic := time.Since(before)
+		c.Check(got-monotonic >= test.want-time.Millisecond && got-monotonic <= test.want+time.Second, qt.IsTrue, qt.Commentf("%s: %s", test.name, got))
 	}
 }
 
@@ -45,12 +45,12 @@
 	time.Sleep(10 * time.Millisecond)
 	c.Check(Since(before) >= 10*time.Millisecond, qt.IsTrue)
 	c.Check(Until(before) < 0, qt.IsTrue)
-	_, ok := readSkew()
+	_, ok := readClockOffset()
 	c.Check(ok, qt.IsTrue)
 }
 
-// TestOnlyTestsShiftTheClock: the programs have no way to it.
-func TestOnlyTestsShiftTheClock(t *testing.T) {
+// TestShiftIsUsedOnlyInTests checks that no program calls Shift.
+func TestShiftIsUsedOnlyInTests(t *testing.T) {
 	c := qt.New(t)
 	err := filepath.WalkDir("../..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -76,7 +76,7 @@
 	})
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			_, _ = readSkew()
+			_, _ = readClockOffset()
 		}
 	})
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -15,109 +15,113 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// maxFurther bounds the engines that are asked in place of those that are left out for their rates.
-const maxFurther = 8
+// maxExtraEngines limits how many engines are tried in place of those that reported a rate limit,
+// a rest, or that they are leaving.
+const maxExtraEngines = 8
 
-// localTries is how often a request is offered to the same engine when it turns out not to hold the adapter.
-const localTries = 2
+// maxLocalTries is how often a request is sent to the same engine if the engine reports that it has not loaded the adapter.
+const maxLocalTries = 2
 
-// attempt is a request that an engine is answering.
+// attempt is a request that was sent to an engine and whose answer has begun.
 type attempt struct {
 	answer *engine.Answer
 	engine string
 	box    string
-	// stalled is how long the request waited for its adapter.
-	stalled time.Duration
-	// end frees what the attempt holds.
-	end func(owner.End)
-	// settle takes in how the answer ended for the engine; nil where another box sees to that.
-	settle func(*result.Error)
+	// adapterWait is how long the request waited for its adapter to be loaded.
+	adapterWait time.Duration
+	// release returns the grant of the engine, or cancels the hop to the box that owns the engine.
+	release func(owner.End)
+	// recordOutcome reports to the quarantine how the answer ended. It is nil if another box owns the engine and reports it.
+	recordOutcome func(*result.Error)
 }
 
-// Engines change hands within a heartbeat or two; a request that finds no owner looks again for that long.
+// A request that finds no owner of an engine retries for handOverTimeout, because an engine gets a new owner within one or two heartbeats.
 const (
-	handOverWait = 2 * time.Second
-	handOverLook = 50 * time.Millisecond
+	handOverTimeout      = 2 * time.Second
+	handOverPollInterval = 50 * time.Millisecond
 )
 
-// place runs a job on one of the candidate engines.
-func (g *Gateway) place(ctx context.Context, j *job) (*attempt, *result.Error) {
-	g.retries.earn()
-	giveUp := clock.Now().Add(handOverWait)
+// runJob runs a job on one of the candidate engines.
+func (g *Gateway) runJob(ctx context.Context, j *job) (*attempt, *result.Error) {
+	g.retryBudget.addRequest()
+	deadline := clock.Now().Add(handOverTimeout)
 	for {
 		a, err := g.tryCandidates(ctx, j)
-		if err == nil || !ownerless(err) {
+		if err == nil || !mayBeHandOver(err) {
 			return a, err
 		}
 		now := clock.Now()
-		if now.After(giveUp) || !now.Add(handOverLook).Before(j.startBy) {
+		if now.After(deadline) || !now.Add(handOverPollInterval).Before(j.startBy) {
 			return nil, result.New(result.NoEngine, "base model %s: %s", j.baseModel, err)
 		}
 		g.cfg.Scope.Tagged(map[string]string{"reason": "hand_over"}).Counter("retries").Inc(1)
 		select {
-		case <-time.After(handOverLook):
+		case <-time.After(handOverPollInterval):
 		case <-ctx.Done():
 			return nil, result.New(result.CallerGone, "%v", context.Cause(ctx))
 		}
 	}
 }
 
-func ownerless(err *result.Error) bool {
+// mayBeHandOver reports whether err may occur because an engine is changing its owner.
+func mayBeHandOver(err *result.Error) bool {
 	return err.Code == result.NotOwner || err.Code == result.NoEngine || err.Code == result.TryNext
 }
 
-// tryCandidates offers a job to the candidate engines in turn until one answers.
+// tryCandidates tries the candidate engines for a job in turn until one of them answers.
 func (g *Gateway) tryCandidates(ctx context.Context, j *job) (*attempt, *result.Error) {
-	last := result.New(result.NoEngine, "base model %s", j.baseModel)
+	lastErr := result.New(result.NoEngine, "base model %s", j.baseModel)
 	mayHaveRun := false
 	candidates := g.candidates(j.ref, j.baseModel)
-	var limited []string
-	var sum wanted
+	var rateLimited []string
+	var summary refusalSummary
 	for i := 0; i < len(candidates); i++ {
 		e := candidates[i]
 		if rerr := g.cfg.Quarantine.Refusal(j.suspect.Fingerprint); rerr != nil {
 			return nil, rerr.After(mayHaveRun)
 		}
-		// Being sent on by an engine that would be slower is routing, not a retry.
-		if i > 0 && last.Code != result.TryNext && !leftOut(last) && !g.retries.spend() {
+		// Trying the next engine is routing, not a retry, if the last engine was only slower than another,
+		// or announced that it takes no requests.
+		if i > 0 && lastErr.Code != result.TryNext && !isAnnouncedRefusal(lastErr) && !g.retryBudget.takeRetry() {
 			g.cfg.Scope.Counter("retries_over_budget").Inc(1)
 			break
 		}
-		j.last = i == len(candidates)-1
-		a, err := g.try(ctx, j, e)
+		j.isLastEngine = i == len(candidates)-1
+		a, err := g.tryEngine(ctx, j, e)
 		if err == nil {
-			j.told.Tried(record.Try{Engine: e.Name, Box: e.Owner.Box, Result: result.OK.String()})
+			j.entry.AddTry(record.Try{Engine: e.Name, Box: e.Owner.Box, Result: result.OK.String()})
 			return a, nil
 		}
-		j.told.Tried(record.Try{Engine: e.Name, Box: e.Owner.Box, Result: err.Code.String(), Detail: err.Detail})
+		j.entry.AddTry(record.Try{Engine: e.Name, Box: e.Owner.Box, Result: err.Code.String(), Detail: err.Detail})
 		mayHaveRun = mayHaveRun || err.Code.Info().Ran != result.RanNo
-		last = err.After(mayHaveRun)
-		sum.add(err)
+		lastErr = err.After(mayHaveRun)
+		summary.add(err)
 		if err.Code == result.RateLimited {
-			limited = append(limited, e.Name)
+			rateLimited = append(rateLimited, e.Name)
 		}
-		if leftOut(err) {
-			// One that is left out for what it says of itself is not one of the few that are asked.
-			if more, ok := g.next(j.ref, j.baseModel, len(candidates)); ok && sum.leftOut <= maxFurther {
-				candidates = append(candidates, more)
+		if isAnnouncedRefusal(err) {
+			// An engine that announced that it takes no requests does not count as a candidate.
+			if extra, ok := g.nextEngine(j.ref, j.baseModel, len(candidates)); ok && summary.announced <= maxExtraEngines {
+				candidates = append(candidates, extra)
 			}
 		}
-		if !tryElsewhere(err, j.repeatable) || !clock.Now().Before(j.startBy) {
+		if !canTryElsewhere(err, j.repeatable) || !clock.Now().Before(j.startBy) {
 			break
 		}
 		g.cfg.Scope.Tagged(map[string]string{"reason": err.Code.String()}).Counter("retries").Inc(1)
 	}
-	if last.Code == result.RateLimited {
-		last.RetryAfter = g.cfg.Rates.ComeBack(clock.Now(), j.baseModel, func() []string { return limited }, last.RetryAfter)
+	if lastErr.Code == result.RateLimited {
+		lastErr.RetryAfter = g.cfg.Rates.ComeBack(clock.Now(), j.baseModel, func() []string { return rateLimited }, lastErr.RetryAfter)
 	}
-	return nil, sum.last(last)
+	return nil, summary.finalError(lastErr)
 }
 
-// tryElsewhere says whether another engine may be asked after err.
-func tryElsewhere(err *result.Error, repeatable bool) bool {
+// canTryElsewhere reports whether the request may be sent to another engine or address after err.
+// If the back end may have run the request already, only a repeatable request is sent again.
+func canTryElsewhere(err *result.Error, repeatable bool) bool {
 	switch err.Code {
-	case result.NotOwner, result.TryNext, result.QueueFull, result.RateLimited, result.EndpointResting, result.EndpointLeaving, result.LoadFailed, result.LoadBudget, result.Leaving,
-		result.BackendRefused, result.BackendUnreachable, result.NotReady:
+	case result.NotOwner, result.TryNext, result.QueueFull, result.RateLimited, result.EndpointResting, result.EndpointLeaving,
+		result.LoadFailed, result.LoadBudget, result.Leaving, result.BackendRefused, result.BackendUnreachable, result.NotReady:
 		return true
 	case result.AnswerLost, result.StreamCut, result.WrongAnswer:
 		return repeatable
@@ -126,7 +130,8 @@
 	}
 }
 
-func (g *Gateway) try(ctx context.Context, j *job, e catalog.EngineView) (*attempt, *result.Error) {
+// tryEngine runs the job on one engine, here or through the box that owns the engine.
+func (g *Gateway) tryEngine(ctx context.Context, j *job, e catalog.EngineView) (*attempt, *result.Error) {
 	if r, ok := g.cfg.Owners.Get(e.Name); ok {
 		return g.tryLocal(ctx, j, e.Name, r)
 	}
@@ -138,12 +143,12 @@
 
 // tryLocal runs the job on an engine that this box owns.
 func (g *Gateway) tryLocal(ctx context.Context, j *job, engine string, r *owner.Runner) (*attempt, *result.Error) {
-	if rerr := g.restOf(engine); rerr != nil {
+	if rerr := g.checkRest(engine); rerr != nil {
 		return nil, rerr
 	}
-	var last *result.Error
-	for range localTries {
-		grant, err := r.Acquire(ctx, j.ask())
+	var lastErr *result.Error
+	for range maxLocalTries {
+		grant, err := r.Acquire(ctx, j.ownerRequest())
 		if err != nil {
 			return nil, result.From(err, result.QueueFull)
 		}
@@ -151,48 +156,48 @@
 		if rerr == nil {
 			return a, nil
 		}
-		last = rerr
+		lastErr = rerr
 		if rerr.Code != result.BackendRefused {
 			break
 		}
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// ask returns what the owner of an engine needs to know of the job.
-func (j *job) ask() owner.Request {
-	return owner.Request{Ref: j.ref, Weights: j.weights, Urgency: j.urgency, StartBy: j.startBy, Last: j.last, Customer: j.cooperative, Rate: j.rate}
+// ownerRequest returns the request to the owner of an engine for a grant.
+func (j *job) ownerRequest() owner.Request {
+	return owner.Request{Ref: j.ref, Weights: j.weights, Urgency: j.urgency, StartBy: j.startBy, Last: j.isLastEngine, Customer: j.cooperative, Rate: j.reportedRate}
 }
 
-// runGranted sends the job to the engine that the grant is for.
+// runGranted sends the job to the granted engine.
 func (g *Gateway) runGranted(ctx context.Context, j *job, grant *owner.Grant) (*attempt, *result.Error) {
-	// What was held while the request waited goes no further.
+	// The request may have been quarantined while it waited for the grant.
 	if rerr := g.cfg.Quarantine.Refusal(j.suspect.Fingerprint); rerr != nil {
 		grant.Release(owner.EndWhole)
 		return nil, rerr
 	}
-	if rerr := g.unwanted(grant); rerr != nil {
+	if rerr := g.checkGranted(grant); rerr != nil {
 		grant.Release(owner.EndWhole)
 		return nil, rerr
 	}
-	settle := func(rerr *result.Error) {
+	recordOutcome := func(rerr *result.Error) {
 		g.cfg.Quarantine.Settle(ctx, j.suspect, quarantine.Endpoint{Name: grant.Name, Address: grant.Engine.Address, Started: grant.Engine.Started}, rerr)
 	}
 	answer, err := g.cfg.Engines.Run(ctx, engine.Call{
 		Address: grant.Engine.Address, Path: j.path, Ref: j.ref, RunID: j.runID, Urgency: strconv.Itoa(j.urgency), Body: j.body,
-		Notice: func(w notice.Word) { g.hear(grant, w) },
+		Notice: func(w notice.Word) { g.recordEngineNotice(grant, w) },
 	})
 	if err != nil {
 		rerr := result.From(err, result.AnswerLost)
-		settle(rerr)
-		grant.Release(endOf(rerr))
+		recordOutcome(rerr)
+		grant.Release(ownerEnd(rerr))
 		return nil, rerr
 	}
-	return &attempt{answer: answer, engine: grant.Name, box: g.cfg.Box, stalled: grant.Stalled, end: grant.Release, settle: settle}, nil
+	return &attempt{answer: answer, engine: grant.Name, box: g.cfg.Box, adapterWait: grant.Stalled, release: grant.Release, recordOutcome: recordOutcome}, nil
 }
 
-// endOf says what an error means for the engine's adapter.
-func endOf(err *result.Error) owner.End {
+// ownerEnd returns how a run that failed with err ended for the owner of the engine.
+func ownerEnd(err *result.Error) owner.End {
 	switch {
 	case err.Code == result.BackendRefused:
 		return owner.EndNotLoaded
@@ -203,15 +208,15 @@
 	}
 }
 
-// finish closes the answer and frees what the attempt holds.
+// finish closes the answer, records its outcome and releases the attempt.
 func (a *attempt) finish(err *result.Error) {
 	a.answer.Close()
-	if a.settle != nil {
-		a.settle(err)
+	if a.recordOutcome != nil {
+		a.recordOutcome(err)
 	}
 	if err == nil {
-		a.end(owner.EndWhole)
+		a.release(owner.EndWhole)
 		return
 	}
-	a.end(endOf(err))
+	a.release(ownerEnd(err))
 }
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -2,29 +2,29 @@
 
 import "sync"
 
-// The retry budget: retries may add at most a tenth to the requests, with a small reserve for quiet times.
+// Retries may add at most a tenth to the number of requests. A small reserve allows retries while there are few requests.
 const (
-	budgetPerRequest = 0.1
-	budgetReserve    = 10
+	retriesPerRequest = 0.1
+	maxSavedRetries   = 10
 )
 
-// budget bounds retries to a share of the requests, so that retries cannot multiply an overload.
-type budget struct {
+// retryBudget limits retries to a share of the requests, so that retries cannot worsen an overload.
+type retryBudget struct {
 	mu     sync.Mutex
 	tokens float64
 }
 
-func newBudget() *budget { return &budget{tokens: budgetReserve} }
+func newRetryBudget() *retryBudget { return &retryBudget{tokens: maxSavedRetries} }
 
-// earn adds what one request allows.
-func (b *budget) earn() {
+// addRequest adds the share of a retry that each request allows.
+func (b *retryBudget) addRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+budgetPerRequest, budgetReserve)
+	b.tokens = min(b.tokens+retriesPerRequest, maxSavedRetries)
 }
 
-// spend takes one retry if there is one.
-func (b *budget) spend() bool {
+// takeRetry uses up one retry and reports whether one was left.
+func (b *retryBudget) takeRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -14,31 +14,31 @@
 
 // handleCompletion serves POST /v1/chat/completions and /v1/completions.
 func (g *Gateway) handleCompletion(w http.ResponseWriter, r *http.Request) {
-	began := clock.Now()
+	receivedAt := clock.Now()
 	requestID := g.requestID(r)
-	if rerr := g.openForNew(); rerr != nil {
-		g.fail(w, requestID, rerr)
+	if rerr := g.checkAccepting(); rerr != nil {
+		g.refuse(w, requestID, rerr)
 		return
 	}
 	j, rerr := g.readJob(w, r, requestID)
 	if rerr != nil {
-		g.fail(w, requestID, rerr)
+		g.refuse(w, requestID, rerr)
 		return
 	}
-	j.told.Came = began
-	leave, rerr := g.authorize(r, j.cooperative)
+	j.entry.ReceivedAt = receivedAt
+	endRequest, rerr := g.authorize(r, j.cooperative)
 	if rerr != nil {
-		g.fail(w, requestID, rerr)
+		g.refuse(w, requestID, rerr)
 		return
 	}
-	defer leave()
-	j.suspect = suspectOf(r, j.cooperative, j.body)
+	defer endRequest()
+	j.suspect = newSuspect(r, j.cooperative, j.body)
 	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.Longest)
 	defer cancel()
-	a, rerr := g.place(ctx, j)
+	a, rerr := g.runJob(ctx, j)
 	if rerr != nil {
-		g.logEnd(j, nil, rerr, began)
-		g.fail(w, requestID, rerr)
+		g.recordEnd(j, nil, rerr, receivedAt)
+		g.refuse(w, requestID, rerr)
 		return
 	}
 	h := w.Header()
@@ -48,16 +48,16 @@
 	h.Set(result.HeaderCode, strconv.Itoa(int(result.OK)))
 	rerr = copyAnswer(w, a.answer)
 	a.finish(rerr)
-	g.logEnd(j, a, rerr, began)
+	g.recordEnd(j, a, rerr, receivedAt)
 	if rerr != nil {
-		g.countEnd(rerr.Code)
+		g.countResult(rerr.Code)
 		return
 	}
-	g.countEnd(result.OK)
+	g.countResult(result.OK)
 }
 
-// openForNew refuses new requests while this box cannot take them.
-func (g *Gateway) openForNew() *result.Error {
+// checkAccepting returns an error while this box accepts no new requests.
+func (g *Gateway) checkAccepting() *result.Error {
 	if g.cfg.Leaving() {
 		rerr := result.New(result.Leaving, "%s", g.cfg.Box)
 		rerr.Elsewhere = g.otherBoxes()
@@ -69,20 +69,20 @@
 	return nil
 }
 
-// logEnd logs and keeps how a request ended.
-func (g *Gateway) logEnd(j *job, a *attempt, rerr *result.Error, began time.Time) {
+// recordEnd logs the result of a request and adds it to the record for operators.
+func (g *Gateway) recordEnd(j *job, a *attempt, rerr *result.Error, receivedAt time.Time) {
 	code := result.OK
 	if rerr != nil {
 		code = rerr.Code
 	}
-	engineName, box, stalled := "", "", time.Duration(0)
+	engineName, box, adapterWait := "", "", time.Duration(0)
 	if a != nil {
-		engineName, box, stalled = a.engine, a.box, a.stalled
-		g.cfg.Scope.Timer("stalled").Record(stalled)
+		engineName, box, adapterWait = a.engine, a.box, a.adapterWait
+		g.cfg.Scope.Timer("stalled").Record(adapterWait)
 	}
-	j.told.ID, j.told.RunID, j.told.Adapter, j.told.Urgency = j.requestID, j.runID, j.ref.String(), j.urgency
-	j.told.Stalled, j.told.Result, j.told.Took = stalled, code, clock.Since(began)
-	g.cfg.Record.Add(j.told)
+	j.entry.ID, j.entry.RunID, j.entry.Adapter, j.entry.Urgency = j.requestID, j.runID, j.ref.String(), j.urgency
+	j.entry.Stalled, j.entry.Result, j.entry.Took = adapterWait, code, clock.Since(receivedAt)
+	g.cfg.Record.Add(j.entry)
 	klog.V(2).InfoS("request", "request", j.requestID, "run", j.runID, "adapter", j.ref.String(), "engine", engineName,
-		"owner", box, "result", int(code), "stalled", stalled, "took", clock.Since(began))
+		"owner", box, "result", int(code), "stalled", adapterWait, "took", clock.Since(receivedAt))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,4 +1,5 @@
-// Package gateway serves callers: completions, services, models and locate, and the hop between boxes.
+// Package gateway handles the requests of callers: completions, calls of services, the list of models and locate.
+// If another box owns the engine for a completion, the gateway forwards the request to that box. This is called a hop.
 package gateway
 
 import (
@@ -20,21 +21,21 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Limits bound what callers can take up.
+// Limits bound the requests of callers.
 type Limits struct {
-	// BodyBytes and BodyTime bound a request body.
+	// BodyBytes is the maximum size of a request body, BodyTime the maximum time for it to arrive.
 	BodyBytes int64
 	BodyTime  time.Duration
-	// DefaultWait is the wait for a start when neither request nor priority names one.
+	// DefaultWait is how long a request may wait for its start if neither the request nor its priority sets a time.
 	DefaultWait time.Duration
-	// Longest bounds a whole request.
+	// Longest is the maximum duration of a whole request.
 	Longest time.Duration
-	// LocateKeep is how long callers may keep a locate answer.
+	// LocateKeep is how long callers may cache a locate response.
 	LocateKeep time.Duration
 }
 
-// suspectFor is how long a box that did not answer is tried last.
-const suspectFor = 3 * time.Second
+// unresponsiveTime is how long a box that did not answer is tried after all others.
+const unresponsiveTime = 3 * time.Second
 
 // Config configures a Gateway.
 type Config struct {
@@ -43,45 +44,47 @@
 	Catalog *catalog.Catalog
 	Owners  *owner.Set
 	Engines *engine.Client
-	// Hop sends requests to other boxes; its transport waits for 100 Continue.
+	// Hop is the client for requests to other boxes. Its transport must wait for 100 Continue before it sends a body.
 	Hop *http.Client
-	// Services calls plain services, ServicesOnce those calls that must not be repeated.
+	// Services is the client for calls of services, ServicesOnce the client for those calls that must not be repeated.
 	Services     *http.Client
 	ServicesOnce *http.Client
 	Limits       Limits
-	// Quarantine knows which requests reach no back end, as others have ended under them.
+	// Quarantine refuses requests that have crashed back ends before.
 	Quarantine *quarantine.Client
-	// Places counts the calls of all boxes at the addresses of services, Rates is what engines and services say of how many requests a second they take.
+	// Places limits the concurrent calls of all boxes to the addresses of services.
+	// Rates stores the maximum requests per second that engines and services report.
 	Places *places.Client
 	Rates  *ratelimit.Book
-	// Notices is what else they have said of themselves.
+	// Notices stores which engines and services have announced that they are leaving or asked for a rest.
 	Notices *notice.Board
-	// Record keeps what was decided, for operators.
+	// Record stores how recent requests were handled, for operators.
 	Record *record.Log
-	// Ready and Leaving tell the state of this box.
+	// Ready reports whether this box can serve requests, Leaving whether it is stopping.
 	Ready   func() bool
 	Leaving func() bool
 	Scope   tally.Scope
-	// NewID returns an id that no other request has.
+	// NewID returns a unique request id.
 	NewID func() string
 }
 
 // Gateway is the caller-facing part of a box.
 type Gateway struct {
-	cfg      Config
-	mu       sync.Mutex
+	cfg Config
+	mu  sync.Mutex
+	// inFlight counts the requests in flight by co-operative or service.
 	inFlight map[string]int
-	// suspects are the boxes that did not answer lately.
-	suspects *recent.Set[string]
-	retries  *budget
+	// unresponsive contains the boxes that did not answer recently.
+	unresponsive *recent.Set[string]
+	retryBudget  *retryBudget
 }
 
 // New returns a Gateway.
 func New(cfg Config) *Gateway {
-	return &Gateway{cfg: cfg, inFlight: map[string]int{}, suspects: recent.New[string](suspectFor), retries: newBudget()}
+	return &Gateway{cfg: cfg, inFlight: map[string]int{}, unresponsive: recent.New[string](unresponsiveTime), retryBudget: newRetryBudget()}
 }
 
-// Handler serves callers.
+// Handler returns the HTTP handler for callers.
 func (g *Gateway) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", g.handleCompletion)
@@ -90,29 +93,30 @@
 	mux.HandleFunc("GET /locate", g.handleLocate)
 	mux.HandleFunc("/services/{service}/", g.handleService)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
-		g.fail(w, r.Header.Get(result.HeaderRequest), result.New(result.NotFound, "%s %s", r.Method, r.URL.Path))
+		g.refuse(w, r.Header.Get(result.HeaderRequest), result.New(result.NotFound, "%s %s", r.Method, r.URL.Path))
 	})
 	return mux
 }
 
-// RegisterPeer adds the hop between boxes to mux.
+// RegisterPeer adds the handler for requests that other boxes forward to mux.
 func (g *Gateway) RegisterPeer(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+pathRun, g.handleHop)
 }
 
-// fail counts a refusal and sends it.
-func (g *Gateway) fail(w http.ResponseWriter, requestID string, err *result.Error) {
-	g.countEnd(err.Code)
+// refuse counts an error and sends it to the caller.
+func (g *Gateway) refuse(w http.ResponseWriter, requestID string, err *result.Error) {
+	g.countResult(err.Code)
 	w.Header().Set(result.HeaderBox, g.cfg.Box)
 	err.Write(w, requestID)
 }
 
-func (g *Gateway) countEnd(c result.Code) {
+// countResult counts a finished request by its result.
+func (g *Gateway) countResult(c result.Code) {
 	g.cfg.Scope.Tagged(map[string]string{"result": c.String()}).Counter("requests").Inc(1)
 }
 
-// enter counts a request of a co-operative in, up to its limit on this box.
-func (g *Gateway) enter(cooperative string, limit int) bool {
+// beginRequest counts a request as in flight. It reports false if the co-operative has reached its limit on this box; zero means no limit.
+func (g *Gateway) beginRequest(cooperative string, limit int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if limit > 0 && g.inFlight[cooperative] >= limit {
@@ -122,7 +126,7 @@
 	return true
 }
 
-func (g *Gateway) exit(cooperative string) {
+func (g *Gateway) endRequest(cooperative string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inFlight[cooperative]--
@@ -131,7 +135,7 @@
 	}
 }
 
-// InFlight returns the requests in flight.
+// InFlight returns the number of requests in flight.
 func (g *Gateway) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -24,20 +24,21 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// The hop between boxes: the head of the request goes first, the body only once the owner is ready to start it.
-// Until then the owner sends 102 Processing at a steady pace, so that a frozen owner is noticed while the request provably has not run.
+// A hop forwards a request to the box that owns the engine. The sender sends the header first, and the body only after the owner is ready to run
+// the request. Until then the owner sends 102 Processing every keepaliveInterval. If it stops, the sender gives up after keepaliveTimeout, while it is
+// certain that the request has not run.
 const (
 	pathRun = "/peer/run"
 
 	headerHop     = "Bellgap-Hop"
 	headerStalled = "Bellgap-Stalled"
 
-	aliveEvery  = 300 * time.Millisecond
-	aliveWithin = 1500 * time.Millisecond
-	hopBodyTime = 5 * time.Second
+	keepaliveInterval = 300 * time.Millisecond
+	keepaliveTimeout  = 1500 * time.Millisecond
+	hopBodyTimeout    = 5 * time.Second
 )
 
-// hopHead is what the owner needs to know before it asks for the body.
+// hopHead is the description of a request in the header of a hop. The owner needs it before the body.
 type hopHead struct {
 	Engine    string        `json:"engine"`
 	Ref       string        `json:"ref"`
@@ -47,69 +48,70 @@
 	Path      string        `json:"path"`
 	Urgency   int           `json:"urgency"`
 	StartIn   time.Duration `json:"start_in"`
-	// Last says that no other engine will be tried after this one.
-	Last bool `json:"last,omitempty"`
-	// Suspect is what the request is known by when it comes again.
+	// LastEngine is set if no other engine will be tried after this one.
+	LastEngine bool `json:"last,omitempty"`
+	// Suspect identifies repeated attempts of the same request for the quarantine.
 	Suspect quarantine.Suspect `json:"suspect"`
-	// Cooperative is whose request it is, Rate what the sender knows of the engine's rate.
+	// Cooperative is the customer that owns the adapter, Rate the rate limit of the engine as last reported to the sender.
 	Cooperative string          `json:"cooperative,omitempty"`
 	Rate        *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// onceBody is a body that tells whether any of it was read.
-type onceBody struct {
-	r    *bytes.Reader
-	read atomic.Bool
+// trackedBody is a request body that records whether any of it was read.
+type trackedBody struct {
+	reader  *bytes.Reader
+	wasRead atomic.Bool
 }
 
 // Read implements io.Reader.
-func (b *onceBody) Read(p []byte) (int, error) {
-	b.read.Store(true)
-	return b.r.Read(p)
+func (b *trackedBody) Read(p []byte) (int, error) {
+	b.wasRead.Store(true)
+	return b.reader.Read(p)
 }
 
 // Close implements io.Closer.
-func (b *onceBody) Close() error { return nil }
+func (b *trackedBody) Close() error { return nil }
 
 // tryHop runs the job on an engine that another box owns.
 func (g *Gateway) tryHop(ctx context.Context, j *job, e catalog.EngineView) (*attempt, *result.Error) {
 	head, err := json.Marshal(hopHead{
 		Engine: e.Name, Ref: j.ref.String(), Weights: j.weights, RunID: j.runID, RequestID: j.requestID,
-		Path: j.path, Urgency: j.urgency, StartIn: clock.Until(j.startBy), Last: j.last, Suspect: j.suspect,
+		Path: j.path, Urgency: j.urgency, StartIn: clock.Until(j.startBy), LastEngine: j.isLastEngine, Suspect: j.suspect,
 		Cooperative: j.cooperative, Rate: g.cfg.Rates.Word(clock.Now(), e.Name, e.Spec.Started),
 	})
 	if err != nil {
 		return nil, result.New(result.BadRequest, "%v", err)
 	}
 	hopCtx, cancel := context.WithCancel(ctx)
-	body := &onceBody{r: bytes.NewReader(j.body)}
+	body := &trackedBody{reader: bytes.NewReader(j.body)}
 	resp, rerr := g.sendHop(hopCtx, cancel, e, head, body, int64(len(j.body)))
 	if rerr != nil {
 		cancel()
 		if ctx.Err() != nil {
-			// That the caller went says nothing of the owner.
+			// The caller disconnected. This is no failure of the owner.
 			return nil, result.New(result.CallerGone, "%v", context.Cause(ctx))
 		}
 		return nil, rerr
 	}
 	g.cfg.Scope.Counter("hops").Inc(1)
-	stalled, _ := time.ParseDuration(resp.Header.Get(headerStalled))
+	adapterWait, _ := time.ParseDuration(resp.Header.Get(headerStalled))
 	return &attempt{
 		answer: engine.NewAnswer(resp, j.ref, j.runID), engine: e.Name, box: e.Owner.Box,
-		stalled: stalled, end: func(owner.End) { cancel() },
+		adapterWait: adapterWait, release: func(owner.End) { cancel() },
 	}, nil
 }
 
+// sendHop sends a hop to the owner of the engine and returns the response if its status is 200.
 func (g *Gateway) sendHop(
-	ctx context.Context, cancel context.CancelFunc, e catalog.EngineView, head []byte, body *onceBody, size int64,
+	ctx context.Context, cancel context.CancelFunc, e catalog.EngineView, head []byte, body *trackedBody, size int64,
 ) (*http.Response, *result.Error) {
-	// The watch ends the call while the body is unread; once the body is asked for the owner may take its time.
-	watch := time.AfterFunc(aliveWithin, cancel)
-	defer watch.Stop()
+	// The watchdog cancels the call if keepalives are missing. It is off after 100 Continue, because the request may then run for a long time.
+	watchdog := time.AfterFunc(keepaliveTimeout, cancel)
+	defer watchdog.Stop()
 	trace := &httptrace.ClientTrace{Got1xxResponse: func(code int, _ textproto.MIMEHeader) error {
-		watch.Stop()
+		watchdog.Stop()
 		if code != http.StatusContinue {
-			watch.Reset(aliveWithin)
+			watchdog.Reset(keepaliveTimeout)
 		}
 		return nil
 	}}
@@ -123,10 +125,10 @@
 	req.Header.Set(headerHop, string(head))
 	resp, err := g.cfg.Hop.Do(req)
 	if err != nil {
-		if !watch.Stop() || !errors.Is(err, context.Canceled) {
-			g.suspects.Add(e.Owner.Box, clock.Now())
+		if !watchdog.Stop() || !errors.Is(err, context.Canceled) {
+			g.unresponsive.Add(e.Owner.Box, clock.Now())
 		}
-		if body.read.Load() {
+		if body.wasRead.Load() {
 			return nil, result.New(result.AnswerLost, "box %s: %v", e.Owner.Box, err)
 		}
 		return nil, result.New(result.BackendUnreachable, "box %s: %v", e.Owner.Box, err)
@@ -138,10 +140,10 @@
 		return resp, nil
 	}
 	defer httpx.Drain(resp.Body)
-	return nil, hopError(resp, body.read.Load())
+	return nil, hopError(resp, body.wasRead.Load())
 }
 
-// hopError reads a refusal. An answer that is no result of ours says nothing if the body was read.
+// hopError decodes the error in the response to a hop. If the response contains no valid error and the body was read, the request may have run.
 func hopError(resp *http.Response, bodyRead bool) *result.Error {
 	const maxRefusal = 64 << 10
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
@@ -149,12 +151,12 @@
 		return e
 	}
 	if bodyRead {
-		return result.New(result.AnswerLost, "status %d between boxes", resp.StatusCode)
+		return result.New(result.AnswerLost, "unexpected status %d from the owner", resp.StatusCode)
 	}
-	return result.New(result.BackendUnreachable, "status %d between boxes", resp.StatusCode)
+	return result.New(result.BackendUnreachable, "unexpected status %d from the owner", resp.StatusCode)
 }
 
-// handleHop runs a request from another box on an engine that this box owns.
+// handleHop serves a hop: it runs the request of another box on an engine that this box owns.
 func (g *Gateway) handleHop(w http.ResponseWriter, r *http.Request) {
 	j, runner, rerr := g.readHop(r)
 	if rerr != nil {
@@ -163,11 +165,11 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.Longest)
 	defer cancel()
-	if rerr := g.restOf(runner.Name()); rerr != nil {
+	if rerr := g.checkRest(runner.Name()); rerr != nil {
 		rerr.Write(w, j.requestID)
 		return
 	}
-	granted, rerr := grant.AcquireAlive(ctx, w, runner, j.ask(), aliveEvery)
+	granted, rerr := grant.AcquireAlive(ctx, w, runner, j.ownerRequest(), keepaliveInterval)
 	grant.TellRate(w.Header(), runner.Rate())
 	if rerr != nil {
 		rerr.Write(w, j.requestID)
@@ -183,10 +185,11 @@
 		rerr.Write(w, j.requestID)
 		return
 	}
-	w.Header().Set(headerStalled, a.stalled.String())
+	w.Header().Set(headerStalled, a.adapterWait.String())
 	a.finish(copyAnswer(w, a.answer))
 }
 
+// readHop decodes the header of a hop and returns the job and the runner of its engine.
 func (g *Gateway) readHop(r *http.Request) (*job, *owner.Runner, *result.Error) {
 	var h hopHead
 	if err := json.Unmarshal([]byte(r.Header.Get(headerHop)), &h); err != nil {
@@ -205,20 +208,20 @@
 	}
 	return &job{
 		requestID: h.RequestID, runID: h.RunID, path: h.Path, ref: ref, weights: h.Weights,
-		urgency: h.Urgency, startBy: clock.Now().Add(h.StartIn), last: h.Last, suspect: h.Suspect,
-		cooperative: h.Cooperative, rate: h.Rate,
+		urgency: h.Urgency, startBy: clock.Now().Add(h.StartIn), isLastEngine: h.LastEngine, suspect: h.Suspect,
+		cooperative: h.Cooperative, reportedRate: h.Rate,
 	}, runner, nil
 }
 
-// readHopBody asks for the body and takes it only whole.
+// readHopBody requests the body from the sender and returns an error if it does not arrive completely.
 func (j *job) readHopBody(w http.ResponseWriter, r *http.Request) *result.Error {
 	rc := http.NewResponseController(w)
-	// A connection without deadlines is ended by the context of the request.
-	_ = rc.SetReadDeadline(time.Now().Add(hopBodyTime))
+	// If the connection does not support deadlines, the context of the request limits the time.
+	_ = rc.SetReadDeadline(time.Now().Add(hopBodyTimeout))
 	defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	j.body = make([]byte, r.ContentLength)
 	if _, err := io.ReadFull(r.Body, j.body); err != nil {
-		return result.New(result.BackendUnreachable, "body between boxes: %v", err)
+		return result.New(result.BackendUnreachable, "request body of the hop not received: %v", err)
 	}
 	return nil
 }
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -16,11 +16,11 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Headers that callers may set.
+// Request headers that callers may set.
 const (
-	// HeaderTimeout is the longest useful wait for a start, as a duration such as "2s".
+	// HeaderTimeout is the maximum wait until the request starts, as a duration such as "2s".
 	HeaderTimeout = "Bellgap-Timeout"
-	// HeaderPriority names a declared priority.
+	// HeaderPriority is the name of a declared priority.
 	HeaderPriority = "Bellgap-Priority"
 	// HeaderRepeatable is "yes" if the request may run more than once.
 	HeaderRepeatable = "Bellgap-Repeatable"
@@ -28,36 +28,37 @@
 
 const maxRequestID = 128
 
-// job is one request for an engine, checked and ready to be placed.
+// job is a validated completion request.
 type job struct {
-	// requestID is the caller's name for the request, runID ours.
-	requestID   string
-	runID       string
-	path        string
-	ref         resource.Ref
-	weights     string
-	baseModel   string
+	// requestID is the id that the caller sent, runID the id that this box generated.
+	requestID string
+	runID     string
+	path      string
+	ref       resource.Ref
+	weights   string
+	baseModel string
+	// cooperative is the customer that owns the adapter.
 	cooperative string
-	// rate is what the box that the request came from knows of the engine's rate.
-	rate       *ratelimit.Word
-	urgency    int
-	startBy    time.Time
-	repeatable bool
-	// last says that no other engine will be tried after the present one.
-	last bool
-	body []byte
-	// suspect is what the request is known by when it comes again.
+	// reportedRate is the rate limit of the engine as last reported to the box that forwarded the request.
+	reportedRate *ratelimit.Word
+	urgency      int
+	startBy      time.Time
+	repeatable   bool
+	// isLastEngine is set if no other engine will be tried after the current one.
+	isLastEngine bool
+	body         []byte
+	// suspect identifies repeated attempts of the same request for the quarantine.
 	suspect quarantine.Suspect
-	// told is what operators can ask about the request.
-	told record.Request
+	// entry is the record of the request for operators.
+	entry record.Request
 }
 
-// modelField is the one field of a completion request that decides where it goes.
+// modelField contains the field of a completion request that selects the engine.
 type modelField struct {
 	Model string `json:"model"`
 }
 
-// requestID returns the caller's id, or a new one.
+// requestID returns the request id that the caller sent, or a new id if it is missing or too long.
 func (g *Gateway) requestID(r *http.Request) string {
 	id := r.Header.Get(result.HeaderRequest)
 	if id == "" || len(id) > maxRequestID {
@@ -66,10 +67,10 @@
 	return id
 }
 
-// readJob reads and checks a request for an engine.
+// readJob reads and validates a completion request.
 func (g *Gateway) readJob(w http.ResponseWriter, r *http.Request, requestID string) (*job, *result.Error) {
 	j := &job{requestID: requestID, runID: g.cfg.NewID(), path: r.URL.Path, repeatable: r.Header.Get(HeaderRepeatable) == "yes"}
-	wait, err := timeout(r)
+	wait, err := parseTimeout(r)
 	if err != nil {
 		return nil, err
 	}
@@ -82,8 +83,8 @@
 	return j, g.resolve(j, r, wait)
 }
 
-// timeout returns the caller's wait, zero if it names none; a wait that is over is refused at once.
-func timeout(r *http.Request) (time.Duration, *result.Error) {
+// parseTimeout returns the wait in HeaderTimeout, or zero if the header is missing. A wait that is not positive is an error.
+func parseTimeout(r *http.Request) (time.Duration, *result.Error) {
 	text := r.Header.Get(HeaderTimeout)
 	if text == "" {
 		return 0, nil
@@ -105,16 +106,16 @@
 func parseModel(b []byte) (resource.Ref, *result.Error) {
 	var f modelField
 	if err := json.NewDecoder(bytes.NewReader(b)).Decode(&f); err != nil {
-		return resource.Ref{}, result.New(result.BadRequest, "body is not JSON: %v", err)
+		return resource.Ref{}, result.New(result.BadRequest, "request body is not valid JSON: %v", err)
 	}
 	ref, err := resource.ParseRef(f.Model)
 	if err != nil {
-		return resource.Ref{}, result.New(result.BadRequest, "model %v", err)
+		return resource.Ref{}, result.New(result.BadRequest, "invalid model: %v", err)
 	}
 	return ref, nil
 }
 
-// resolve looks up what the request names.
+// resolve fills in the data of the adapter, its version and the priority of the request from the catalog.
 func (g *Gateway) resolve(j *job, r *http.Request, wait time.Duration) *result.Error {
 	a, ok := g.cfg.Catalog.Adapter(j.ref.Adapter)
 	if !ok {
@@ -122,7 +123,7 @@
 	}
 	v, ok := g.cfg.Catalog.Version(j.ref)
 	if !ok {
-		return result.New(result.UnknownVersion, "%s; declared: %s", j.ref, strings.Join(g.cfg.Catalog.Versions(j.ref.Adapter), ", "))
+		return result.New(result.UnknownVersion, "%s; declared versions: %s", j.ref, strings.Join(g.cfg.Catalog.Versions(j.ref.Adapter), ", "))
 	}
 	j.weights, j.baseModel, j.cooperative = v.Weights, a.BaseModel, a.Cooperative
 	priority := r.Header.Get(HeaderPriority)
@@ -132,7 +133,7 @@
 	if priority != "" {
 		p, ok := g.cfg.Catalog.Priority(priority)
 		if !ok {
-			return result.New(result.BadRequest, "no priority %q is declared", priority)
+			return result.New(result.BadRequest, "unknown priority %q", priority)
 		}
 		j.urgency = p.Urgency
 		if wait == 0 {
--- a/internal/gateway/locate.go
+++ b/internal/gateway/locate.go
@@ -11,14 +11,14 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// maxAddresses is how many addresses a locate answer names.
+// maxAddresses is the maximum number of addresses in a locate response.
 const maxAddresses = 3
 
-// Located is the answer to GET /locate.
+// Located is the response to GET /locate.
 type Located struct {
-	// Addresses lists where to send the request, best first.
+	// Addresses lists the addresses to send the request to, best first.
 	Addresses []string `json:"addresses"`
-	// KeepSeconds is how long the answer is good for.
+	// KeepSeconds is how long the response may be cached.
 	KeepSeconds int `json:"keep_seconds"`
 }
 
@@ -26,12 +26,13 @@
 func (g *Gateway) handleLocate(w http.ResponseWriter, r *http.Request) {
 	addresses, rerr := g.locate(r.FormValue("model"), r.FormValue("service"))
 	if rerr != nil {
-		g.fail(w, "", rerr)
+		g.refuse(w, "", rerr)
 		return
 	}
 	httpx.WriteJSON(w, http.StatusOK, Located{addresses, int(g.cfg.Limits.LocateKeep.Seconds())})
 }
 
+// locate returns the addresses of boxes for a model or, if service is not empty, for a service.
 func (g *Gateway) locate(model, service string) ([]string, *result.Error) {
 	if !g.cfg.Ready() {
 		return nil, result.New(result.NotReady, "%s", g.cfg.Box)
@@ -40,11 +41,11 @@
 		if _, ok := g.cfg.Catalog.Service(service); !ok {
 			return nil, result.New(result.UnknownService, "%s", service)
 		}
-		return g.addresses(service, nil), nil
+		return g.boxAddresses(service, nil), nil
 	}
 	ref, err := resource.ParseRef(model)
 	if err != nil {
-		return nil, result.New(result.BadRequest, "model %v", err)
+		return nil, result.New(result.BadRequest, "invalid model: %v", err)
 	}
 	a, ok := g.cfg.Catalog.Adapter(ref.Adapter)
 	if !ok {
@@ -57,22 +58,22 @@
 	for _, e := range g.candidates(ref, a.BaseModel) {
 		owners = append(owners, e.Owner.Box)
 	}
-	return g.addresses(ref.String(), owners), nil
+	return g.boxAddresses(ref.String(), owners), nil
 }
 
-// addresses returns the caller addresses of preferred boxes, then of others, without leaving and suspected ones.
-func (g *Gateway) addresses(key string, preferred []string) []string {
+// boxAddresses returns the addresses for callers of the preferred boxes, then of others. It omits boxes that are leaving or unresponsive.
+func (g *Gateway) boxAddresses(key string, preferred []string) []string {
 	t := g.cfg.Catalog.Topology()
-	names := make([]string, 0, len(t.Boxes))
+	boxNames := make([]string, 0, len(t.Boxes))
 	for name := range t.Boxes {
-		names = append(names, name)
+		boxNames = append(boxNames, name)
 	}
-	slices.Sort(names)
+	slices.Sort(boxNames)
 	addresses := []string{}
-	for _, name := range append(preferred, placement.Top(key, names, 2*maxAddresses)...) {
+	for _, name := range append(preferred, placement.Top(key, boxNames, 2*maxAddresses)...) {
 		b := t.Boxes[name]
 		address := b.Caller.String()
-		if b.Leaving || g.suspects.Has(name, clock.Now()) || slices.Contains(addresses, address) {
+		if b.Leaving || g.unresponsive.Has(name, clock.Now()) || slices.Contains(addresses, address) {
 			continue
 		}
 		addresses = append(addresses, address)
@@ -83,8 +84,8 @@
 	return addresses
 }
 
-// otherBoxes returns addresses of boxes other than this one.
+// otherBoxes returns the addresses for callers of other boxes.
 func (g *Gateway) otherBoxes() []string {
 	self := g.cfg.Catalog.Topology().Boxes[g.cfg.Box].Caller.String()
-	return slices.DeleteFunc(g.addresses(g.cfg.Box, nil), func(a string) bool { return a == self })
+	return slices.DeleteFunc(g.boxAddresses(g.cfg.Box, nil), func(a string) bool { return a == self })
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -10,8 +10,8 @@
 
 // Page sizes of GET /v1/models.
 const (
-	defaultModels = 1000
-	maxModels     = 20000
+	defaultPageSize = 1000
+	maxPageSize     = 20000
 )
 
 type model struct {
@@ -23,15 +23,15 @@
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
-	// HasMore says that there are more; ask again with after set to the last id.
+	// HasMore is set if there are more models. The parameter after, set to the last id, requests the next page.
 	HasMore bool `json:"has_more"`
 }
 
 // handleModels serves GET /v1/models?limit=N&after=ID.
 func (g *Gateway) handleModels(w http.ResponseWriter, r *http.Request) {
 	limit, err := strconv.Atoi(r.FormValue("limit"))
-	if err != nil || limit <= 0 || limit > maxModels {
-		limit = defaultModels
+	if err != nil || limit <= 0 || limit > maxPageSize {
+		limit = defaultPageSize
 	}
 	after := r.FormValue("after")
 	list := modelList{Object: "list", Data: []model{}}
@@ -43,12 +43,13 @@
 			list.HasMore = true
 			break
 		}
-		list.Data = append(list.Data, model{it.Resource.Name, "model", g.cooperativeOf(it.Resource.Name)})
+		list.Data = append(list.Data, model{it.Resource.Name, "model", g.modelOwner(it.Resource.Name)})
 	}
 	httpx.WriteJSON(w, http.StatusOK, list)
 }
 
-func (g *Gateway) cooperativeOf(name string) string {
+// modelOwner returns the co-operative that owns the adapter of a model, or an empty string if it is unknown.
+func (g *Gateway) modelOwner(name string) string {
 	ref, err := resource.ParseRef(name)
 	if err != nil {
 		return ""
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -13,15 +13,15 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// headerRetryAfter is passed on from services: callers are to come back when the service says.
+// headerRetryAfter is copied from the responses of services to the caller, who should retry after the time that the service requests.
 const headerRetryAfter = "Retry-After"
 
-// returnSpread is over what time those come back that nobody would take.
-const returnSpread = 2 * time.Second
+// retrySpread is the time over which the retries of callers are spread if no endpoint takes their requests.
+const retrySpread = 2 * time.Second
 
-// hear takes in what the head of an engine's answer says of it. That it leaves concerns its owner alone, without which no box sends there; its rest concerns
-// the box that sent, which is the owner.
-func (g *Gateway) hear(grant *owner.Grant, w notice.Word) {
+// recordEngineNotice records the rate limit and the notices in the header of an engine's answer. No request is sent to an engine
+// without its owner, so only the owner needs to know that the engine is leaving. A rest applies to the box that sent the request: here, the owner.
+func (g *Gateway) recordEngineNotice(grant *owner.Grant, w notice.Word) {
 	now := clock.Now()
 	if w.RateErr != nil {
 		g.cfg.Rates.Ignored(now, grant.Name, w.RateErr)
@@ -36,14 +36,15 @@
 		grant.HearLeft()
 		w.Leaving = false
 	}
-	g.cfg.Notices.Heard(now, engineOf(grant.Name), w)
+	g.cfg.Notices.Heard(now, engineEndpoint(grant.Name), w)
 }
 
-// engineOf returns an engine as the board knows it: its rest is over sooner than it could start again and ask for another.
-func engineOf(name string) notice.Endpoint { return notice.Endpoint{Name: name, Reused: true} }
+// engineEndpoint returns the endpoint of an engine on the notice board. Reused is set because no start time is needed:
+// a rest ends sooner than the engine could restart and ask for another rest.
+func engineEndpoint(name string) notice.Endpoint { return notice.Endpoint{Name: name, Reused: true} }
 
-// hearService takes in what the head of a service's answer says of the address that gave it.
-func (g *Gateway) hearService(a netip.AddrPort, resp *http.Response) {
+// recordServiceNotice records the rate limit and the notices in the header of a service's answer for the address that answered.
+func (g *Gateway) recordServiceNotice(a netip.AddrPort, resp *http.Response) {
 	now, w := clock.Now(), engine.Headers.Read(resp.StatusCode, resp.Header)
 	if w.RateErr != nil {
 		g.cfg.Rates.Ignored(now, a.String(), w.RateErr)
@@ -53,54 +54,56 @@
 	g.cfg.Notices.Heard(now, notice.Endpoint{Name: a.String(), Reused: true}, w)
 }
 
-// restOf refuses what is for an engine that has asked this box for rest.
-func (g *Gateway) restOf(name string) *result.Error {
-	if rest := g.cfg.Notices.Rest(clock.Now(), engineOf(name)); rest > 0 {
-		return resting(name, rest)
+// checkRest returns an error if an engine or address has asked this box for a rest.
+func (g *Gateway) checkRest(name string) *result.Error {
+	if wait := g.cfg.Notices.Rest(clock.Now(), engineEndpoint(name)); wait > 0 {
+		return restingError(name, wait)
 	}
 	return nil
 }
 
-func resting(name string, rest time.Duration) *result.Error {
+func restingError(name string, wait time.Duration) *result.Error {
 	rerr := result.New(result.EndpointResting, "%s", name)
-	rerr.RetryAfter = rest
+	rerr.RetryAfter = wait
 	return rerr
 }
 
-// unwanted returns why a request that waited for a grant may not be sent any more by what its engine has said meanwhile, nil if it may.
-func (g *Gateway) unwanted(grant *owner.Grant) *result.Error {
+// checkGranted returns an error if the engine announced that it is leaving or asked for a rest while the request waited for its grant.
+func (g *Gateway) checkGranted(grant *owner.Grant) *result.Error {
 	if grant.Left() {
 		return result.New(result.EndpointLeaving, "%s", grant.Name)
 	}
-	return g.enterRest(engineOf(grant.Name))
+	return g.admit(engineEndpoint(grant.Name))
 }
 
-// unwantedAt returns why a call may not be sent to an address of a service, nil if it may.
-func (g *Gateway) unwantedAt(address string) *result.Error {
+// checkAddress returns an error if an address of a service is leaving or has asked for a rest.
+func (g *Gateway) checkAddress(address string) *result.Error {
 	e := notice.Endpoint{Name: address, Reused: true}
 	if g.cfg.Notices.Leaves(clock.Now(), e) {
 		return result.New(result.EndpointLeaving, "%s", address)
 	}
-	return g.restOf(address)
+	return g.checkRest(address)
 }
 
-// enterAddress asks once more, right before a call is sent to an address.
-func (g *Gateway) enterAddress(address string) *result.Error {
-	if rerr := g.unwantedAt(address); rerr != nil {
+// admitToAddress checks an address again directly before a call is sent to it, and counts the call as sent.
+func (g *Gateway) admitToAddress(address string) *result.Error {
+	if rerr := g.checkAddress(address); rerr != nil {
 		return rerr
 	}
-	return g.enterRest(notice.Endpoint{Name: address, Reused: true})
+	return g.admit(notice.Endpoint{Name: address, Reused: true})
 }
 
-func (g *Gateway) enterRest(e notice.Endpoint) *result.Error {
+// admit counts a request to an endpoint as sent, or returns an error if the endpoint has asked for a rest.
+func (g *Gateway) admit(e notice.Endpoint) *result.Error {
 	if wait, ok := g.cfg.Notices.Enter(clock.Now(), e); !ok {
-		return resting(e.Name, wait)
+		return restingError(e.Name, wait)
 	}
 	return nil
 }
 
-// leftOut reports whether an engine was left out for what it says of itself: going on to the next is routing, not a retry.
-func leftOut(rerr *result.Error) bool {
+// isAnnouncedRefusal reports whether an endpoint was skipped because of its own announcement: a rate limit, a rest, or that it is leaving.
+// Trying the next endpoint is then routing, not a retry.
+func isAnnouncedRefusal(rerr *result.Error) bool {
 	switch rerr.Code {
 	case result.RateLimited, result.EndpointResting, result.EndpointLeaving:
 		return true
@@ -109,37 +112,40 @@
 	}
 }
 
-// wanted sums up why a request was not taken.
-type wanted struct {
-	leftOut, others int
-	rests           int
-	// soonest is the shortest rest.
-	soonest time.Duration
+// refusalSummary counts the reasons why endpoints did not take a request.
+type refusalSummary struct {
+	// announced counts the errors for which isAnnouncedRefusal is true, others all other errors.
+	announced, others int
+	// resting counts the endpoints that asked for a rest.
+	resting int
+	// shortestRest is the shortest remaining rest of these endpoints.
+	shortestRest time.Duration
 }
 
-func (w *wanted) add(rerr *result.Error) {
-	if !leftOut(rerr) {
-		w.others++
+func (s *refusalSummary) add(rerr *result.Error) {
+	if !isAnnouncedRefusal(rerr) {
+		s.others++
 		return
 	}
-	w.leftOut++
+	s.announced++
 	if rerr.Code == result.EndpointResting {
-		if w.rests == 0 || rerr.RetryAfter < w.soonest {
-			w.soonest = rerr.RetryAfter
+		if s.resting == 0 || rerr.RetryAfter < s.shortestRest {
+			s.shortestRest = rerr.RetryAfter
 		}
-		w.rests++
+		s.resting++
 	}
 }
 
-// last returns what a request is refused with. If all that could take it rest or leave, it is told when the first rest is over.
-func (w *wanted) last(rerr *result.Error) *result.Error {
-	if w.leftOut == 0 || w.others > 0 || (rerr != nil && rerr.Code == result.RateLimited) {
+// finalError returns the error for the caller. If all endpoints that could take the request are resting or leaving,
+// the caller is asked to retry after the shortest rest.
+func (s *refusalSummary) finalError(rerr *result.Error) *result.Error {
+	if s.announced == 0 || s.others > 0 || (rerr != nil && rerr.Code == result.RateLimited) {
 		return rerr
 	}
-	if w.rests > 0 {
-		return resting("all that could take it", w.soonest+rand.N(returnSpread))
+	if s.resting > 0 {
+		return restingError("all suitable endpoints", s.shortestRest+rand.N(retrySpread))
 	}
-	all := result.New(result.EndpointLeaving, "all that could take it")
-	all.RetryAfter = time.Second + rand.N(returnSpread)
-	return all
+	leavingErr := result.New(result.EndpointLeaving, "all suitable endpoints")
+	leavingErr.RetryAfter = time.Second + rand.N(retrySpread)
+	return leavingErr
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -20,14 +20,14 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// maxServiceTries is how many addresses of a service are tried for one call.
+// maxServiceTries is the maximum number of addresses of a service to which one call is sent.
 const maxServiceTries = 3
 
-// passedOn lists the caller's headers that a service sees.
-var passedOn = []string{"Accept", "Accept-Language", "Content-Type", "Authorization"}
+// forwardedHeaders lists the request headers of callers that are forwarded to services.
+var forwardedHeaders = []string{"Accept", "Accept-Language", "Content-Type", "Authorization"}
 
-// call is one request for a plain service.
-type call struct {
+// serviceCall is one call of a service.
+type serviceCall struct {
 	requestID  string
 	service    string
 	runID      string
@@ -36,50 +36,51 @@
 	header     http.Header
 	body       []byte
 	repeatable bool
-	// suspect is what the request is known by when it comes again.
+	// suspect identifies repeated attempts of the same call for the quarantine.
 	suspect quarantine.Suspect
 }
 
 // handleService serves /services/{service}/...
 func (g *Gateway) handleService(w http.ResponseWriter, r *http.Request) {
 	requestID := g.requestID(r)
-	if rerr := g.openForNew(); rerr != nil {
-		g.fail(w, requestID, rerr)
+	if rerr := g.checkAccepting(); rerr != nil {
+		g.refuse(w, requestID, rerr)
 		return
 	}
 	name := r.PathValue("service")
 	s, ok := g.cfg.Catalog.Service(name)
 	if !ok {
-		g.fail(w, requestID, result.New(result.UnknownService, "%s", name))
+		g.refuse(w, requestID, result.New(result.UnknownService, "%s", name))
 		return
 	}
 	c, rerr := g.readCall(w, r, name, s, requestID)
 	if rerr != nil {
-		g.fail(w, requestID, rerr)
+		g.refuse(w, requestID, rerr)
 		return
 	}
-	leave, rerr := g.authorize(r, "service/"+name)
+	endRequest, rerr := g.authorize(r, "service/"+name)
 	if rerr != nil {
-		g.fail(w, requestID, rerr)
+		g.refuse(w, requestID, rerr)
 		return
 	}
-	defer leave()
+	defer endRequest()
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(s.Timeout))
 	defer cancel()
-	resp, to, rerr := g.callService(ctx, c, s)
+	resp, endpoint, rerr := g.callService(ctx, c, s)
 	if rerr != nil {
-		g.fail(w, requestID, rerr)
+		g.refuse(w, requestID, rerr)
 		return
 	}
-	rerr = g.passAnswer(w, resp, requestID)
-	g.cfg.Quarantine.Settle(ctx, c.suspect, to, rerr)
+	rerr = g.copyServiceAnswer(w, resp, requestID)
+	g.cfg.Quarantine.Settle(ctx, c.suspect, endpoint, rerr)
 	if rerr != nil {
-		// Breaking the connection shows the caller that the answer is not whole.
+		// Aborting the connection shows the caller that the answer is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (g *Gateway) readCall(w http.ResponseWriter, r *http.Request, name string, s *resource.Service, requestID string) (*call, *result.Error) {
+// readCall reads the caller's request and returns the call to send to the service.
+func (g *Gateway) readCall(w http.ResponseWriter, r *http.Request, name string, s *resource.Service, requestID string) (*serviceCall, *result.Error) {
 	content, rerr := g.readBody(w, r)
 	if rerr != nil {
 		return nil, rerr
@@ -89,20 +90,21 @@
 	if r.URL.RawQuery != "" {
 		target += "?" + r.URL.RawQuery
 	}
-	c := &call{service: name, requestID: requestID, runID: g.cfg.NewID(), method: r.Method, target: target, body: content, header: http.Header{}}
-	for _, h := range passedOn {
+	c := &serviceCall{service: name, requestID: requestID, runID: g.cfg.NewID(), method: r.Method, target: target, body: content, header: http.Header{}}
+	for _, h := range forwardedHeaders {
 		if v := r.Header.Get(h); v != "" {
 			c.header.Set(h, v)
 		}
 	}
 	c.header.Set(result.HeaderRequest, requestID)
-	c.repeatable = repeatable(r, path, s)
-	c.suspect = suspectOf(r, "service/"+name, content)
+	c.repeatable = isRepeatable(r, path, s)
+	c.suspect = newSuspect(r, "service/"+name, content)
 	return c, nil
 }
 
-// repeatable says whether a call may run twice: the declaration goes first, then the caller's mark, then the method.
-func repeatable(r *http.Request, path string, s *resource.Service) bool {
+// isRepeatable reports whether a call may run twice. The unrepeatable paths of the service's declaration take precedence, then the caller's header,
+// then the method.
+func isRepeatable(r *http.Request, path string, s *resource.Service) bool {
 	for _, p := range s.Unrepeatable {
 		if strings.HasPrefix(path, p) {
 			return false
@@ -117,72 +119,74 @@
 	return r.Method == http.MethodGet || r.Method == http.MethodHead
 }
 
-// callService tries the addresses of a service in turn, and returns which one answered. After a call may have run, only a repeatable one goes on.
-func (g *Gateway) callService(ctx context.Context, c *call, s *resource.Service) (*http.Response, quarantine.Endpoint, *result.Error) {
-	byName := map[string]netip.AddrPort{}
-	names := make([]string, 0, len(s.Addresses))
+// callService tries the addresses of a service in turn and returns the answer with the address that sent it.
+// If a call may have run at one address, it is sent to another address only if it is repeatable.
+func (g *Gateway) callService(ctx context.Context, c *serviceCall, s *resource.Service) (*http.Response, quarantine.Endpoint, *result.Error) {
+	addressPorts := map[string]netip.AddrPort{}
+	addresses := make([]string, 0, len(s.Addresses))
 	for _, a := range s.Addresses {
-		byName[a.String()] = a
-		names = append(names, a.String())
+		addressPorts[a.String()] = a
+		addresses = append(addresses, a.String())
 	}
-	g.retries.earn()
-	var last *result.Error
-	var to quarantine.Endpoint
+	g.retryBudget.addRequest()
+	var lastErr *result.Error
+	var endpoint quarantine.Endpoint
 	mayHaveRun := false
-	tries, soonest := 0, time.Duration(math.MaxInt64)
-	var sum wanted
-	for _, name := range placement.Rank(c.runID, names) {
+	tries, shortestWait := 0, time.Duration(math.MaxInt64)
+	var summary refusalSummary
+	for _, name := range placement.Rank(c.runID, addresses) {
 		if tries == maxServiceTries {
 			break
 		}
 		if rerr := g.cfg.Quarantine.Refusal(c.suspect.Fingerprint); rerr != nil {
-			return nil, to, rerr.After(mayHaveRun)
+			return nil, endpoint, rerr.After(mayHaveRun)
 		}
-		if rerr := g.unwantedAt(name); rerr != nil {
-			sum.add(rerr)
+		if rerr := g.checkAddress(name); rerr != nil {
+			summary.add(rerr)
 			continue
 		}
 		place, refusal := g.cfg.Places.Take(ctx, places.Ask{Endpoint: name, Slots: places.AnySlots, Hold: time.Duration(s.Timeout)})
 		if place == nil {
-			soonest = min(soonest, refusal.Wait)
-			sum.add(result.New(result.RateLimited, "%s", name))
+			shortestWait = min(shortestWait, refusal.Wait)
+			summary.add(result.New(result.RateLimited, "%s", name))
 			continue
 		}
-		if tries > 0 && !g.retries.spend() {
+		if tries > 0 && !g.retryBudget.takeRetry() {
 			place.End(0)
 			break
 		}
-		if rerr := g.enterAddress(name); rerr != nil {
+		if rerr := g.admitToAddress(name); rerr != nil {
 			place.End(0)
-			sum.add(rerr)
+			summary.add(rerr)
 			continue
 		}
 		tries++
-		to = quarantine.Endpoint{Name: name, Address: byName[name]}
-		resp, rerr := g.callOnce(ctx, c, to.Address)
+		endpoint = quarantine.Endpoint{Name: name, Address: addressPorts[name]}
+		resp, rerr := g.callAddress(ctx, c, endpoint.Address)
 		place.End(0)
 		if rerr == nil {
-			return resp, to, nil
+			return resp, endpoint, nil
 		}
-		g.cfg.Quarantine.Settle(ctx, c.suspect, to, rerr)
+		g.cfg.Quarantine.Settle(ctx, c.suspect, endpoint, rerr)
 		mayHaveRun = mayHaveRun || rerr.Code.Info().Ran != result.RanNo
-		last = rerr.After(mayHaveRun)
-		if !tryElsewhere(rerr, c.repeatable) {
+		lastErr = rerr.After(mayHaveRun)
+		if !canTryElsewhere(rerr, c.repeatable) {
 			break
 		}
 		g.cfg.Scope.Tagged(map[string]string{"reason": rerr.Code.String()}).Counter("retries").Inc(1)
 	}
-	if tries == 0 && soonest < math.MaxInt64 {
-		last = result.New(result.RateLimited, "%s", c.service)
-		last.RetryAfter = g.cfg.Rates.ComeBack(clock.Now(), c.service, func() []string { return names }, soonest)
+	if tries == 0 && shortestWait < math.MaxInt64 {
+		lastErr = result.New(result.RateLimited, "%s", c.service)
+		lastErr.RetryAfter = g.cfg.Rates.ComeBack(clock.Now(), c.service, func() []string { return addresses }, shortestWait)
 	}
 	if tries == 0 {
-		last = sum.last(last)
+		lastErr = summary.finalError(lastErr)
 	}
-	return nil, to, last
+	return nil, endpoint, lastErr
 }
 
-func (g *Gateway) callOnce(ctx context.Context, c *call, a netip.AddrPort) (*http.Response, *result.Error) {
+// callAddress sends the call to one address of the service.
+func (g *Gateway) callAddress(ctx context.Context, c *serviceCall, a netip.AddrPort) (*http.Response, *result.Error) {
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+a.String()+c.target, bytes.NewReader(c.body))
 	if err != nil {
 		return nil, result.New(result.BadRequest, "%v", err)
@@ -197,7 +201,7 @@
 	resp, err := client.Do(sent.Request)
 	switch {
 	case err == nil:
-		g.hearService(a, resp)
+		g.recordServiceNotice(a, resp)
 		return resp, nil
 	case !sent.Started():
 		return nil, result.New(result.BackendUnreachable, "%v", err)
@@ -206,25 +210,25 @@
 	}
 }
 
-// passAnswer copies a service's answer to the caller.
-func (g *Gateway) passAnswer(w http.ResponseWriter, resp *http.Response, requestID string) *result.Error {
+// copyServiceAnswer copies a service's answer to the caller.
+func (g *Gateway) copyServiceAnswer(w http.ResponseWriter, resp *http.Response, requestID string) *result.Error {
 	defer httpx.Drain(resp.Body)
 	h := w.Header()
 	h.Set("Content-Type", resp.Header.Get("Content-Type"))
 	h.Set(result.HeaderRequest, requestID)
 	h.Set(result.HeaderBox, g.cfg.Box)
 	h.Set(result.HeaderCode, strconv.Itoa(int(result.OK)))
-	if rest := resp.Header.Get(headerRetryAfter); rest != "" {
-		h.Set(headerRetryAfter, rest)
+	if retryAfter := resp.Header.Get(headerRetryAfter); retryAfter != "" {
+		h.Set(headerRetryAfter, retryAfter)
 	}
 	if resp.ContentLength >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
 	w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(w, resp.Body); err != nil {
-		g.countEnd(result.StreamCut)
+		g.countResult(result.StreamCut)
 		return result.Cut(result.StreamCut, err)
 	}
-	g.countEnd(result.OK)
+	g.countResult(result.OK)
 	return nil
 }
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -10,8 +10,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// copyAnswer passes a checked answer on. Nothing is written before the first part has passed its check.
-// An error before that is written as the whole answer; later ones end the stream with an error event.
+// copyAnswer copies a validated answer to the caller. It writes nothing before the first event of a stream or the whole answer is validated.
+// An error before that is sent as the complete answer. A later error ends the stream with an error event.
 func copyAnswer(w http.ResponseWriter, a *engine.Answer) *result.Error {
 	if !a.Stream {
 		b, err := a.Whole()
@@ -37,13 +37,14 @@
 	return copyEvents(w, a, first)
 }
 
+// copyEvents copies the events of a stream to the caller, beginning with event.
 func copyEvents(w http.ResponseWriter, a *engine.Answer, event []byte) *result.Error {
 	rc := http.NewResponseController(w)
 	for {
 		if _, err := w.Write(event); err != nil {
 			return result.New(result.CallerGone, "%v", err)
 		}
-		// A failed flush shows at the next write.
+		// If the flush fails, the next write returns the error.
 		_ = rc.Flush()
 		var err error
 		event, err = a.Next()
@@ -58,12 +59,12 @@
 	}
 }
 
-// writeErrorEvent ends a stream with an event that says how it ended; there is no end mark after it.
+// writeErrorEvent ends a stream with an event that contains the error. No end marker follows.
 func writeErrorEvent(w http.ResponseWriter, rerr *result.Error) {
 	b, err := json.Marshal(rerr.Body(""))
 	if err != nil {
 		return
 	}
-	// The caller may be gone; there is nobody left to tell.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write([]byte("data: " + string(b) + "\n\n"))
 }
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -1,4 +1,4 @@
-// Package part holds what all supervised parts of a process share.
+// Package part contains helper functions for the supervised components of a process.
 package part
 
 import (
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// CloseAtEnd closes done if ctx has ended. Deferred in a part's Serve, it leaves done open when the supervisor will start the part again.
+// CloseAtEnd closes done if ctx has ended. It is meant to be deferred in the Serve method of a supervised component.
+// If Serve returns while ctx is valid, done stays open, because the supervisor restarts the component.
 func CloseAtEnd(ctx context.Context, done chan struct{}) {
 	if ctx.Err() != nil {
 		close(done)
 	}
 }
 
-// Sleep waits and reports whether ctx still stands.
+// Sleep waits for d or the end of ctx, and reports whether d passed first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -1,4 +1,4 @@
-// Package recent remembers for a while that something was seen.
+// Package recent provides a set whose keys expire after a fixed time.
 package recent
 
 import (
@@ -6,34 +6,34 @@
 	"time"
 )
 
-// maxKeys bounds what one Set remembers; beyond it the Set forgets all and starts over.
+// maxKeys is the maximum number of keys in a Set. A full Set drops all keys before it adds another one.
 const maxKeys = 4096
 
-// Set holds keys for a fixed time after they were last added.
+// Set contains each key for a fixed time after it was last added.
 type Set[K comparable] struct {
-	keep  time.Duration
-	mu    sync.Mutex
-	until map[K]time.Time
+	ttl    time.Duration
+	mu     sync.Mutex
+	expiry map[K]time.Time
 }
 
-// New returns an empty Set that keeps its keys for a time.
-func New[K comparable](keep time.Duration) *Set[K] {
-	return &Set[K]{keep: keep, until: map[K]time.Time{}}
+// New returns an empty Set whose keys expire after ttl.
+func New[K comparable](ttl time.Duration) *Set[K] {
+	return &Set[K]{ttl: ttl, expiry: map[K]time.Time{}}
 }
 
-// Add notes that a key was seen.
+// Add adds a key or extends its expiry time.
 func (s *Set[K]) Add(key K, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.until) >= maxKeys {
-		clear(s.until)
+	if len(s.expiry) >= maxKeys {
+		clear(s.expiry)
 	}
-	s.until[key] = now.Add(s.keep)
+	s.expiry[key] = now.Add(s.ttl)
 }
 
-// Has reports whether a key was seen lately.
+// Has reports whether a key was added and has not expired.
 func (s *Set[K]) Has(key K, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.until[key])
+	return now.Before(s.expiry[key])
 }
--- a/internal/recent/recent_test.go
+++ b/internal/recent/recent_test.go
@@ -21,7 +21,7 @@
 	c.Check(s.Has("box", now.Add(time.Second)), qt.IsTrue)
 }
 
-// TestSetIsBounded adds more keys than a Set remembers: the newest is always there.
+// TestSetIsBounded adds more keys than a Set can contain. The newest key must always be present.
 func TestSetIsBounded(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,4 +1,4 @@
-// Package record keeps what was decided about recent requests, in bounded memory, for operators who ask why.
+// Package record stores how recent requests were handled, in bounded memory, so that operators can look it up.
 package record
 
 import (
@@ -8,46 +8,47 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Limits of what is kept.
+// Limits of the stored data.
 const (
 	maxRequests = 1024
-	maxTries    = 16
+	// maxTries is the limit for each request.
+	maxTries = 16
 )
 
-// Try is one engine that a request was offered to.
+// Try is one attempt to run a request on an engine.
 type Try struct {
 	Engine string `json:"engine"`
 	Box    string `json:"box"`
-	// Result says how the offer ended, Detail why.
+	// Result is the name of the result code, Detail the reason for an error.
 	Result string `json:"result"`
 	Detail string `json:"detail,omitempty"`
-	// After is the time since the request came.
+	// After is the time from the arrival of the request to the end of the try.
 	After time.Duration `json:"after"`
 }
 
-// Request is what is kept of one request; it holds no part of its body.
+// Request describes how one request was handled. It contains no part of the request body.
 type Request struct {
-	ID      string    `json:"id"`
-	RunID   string    `json:"run_id"`
-	Adapter string    `json:"adapter"`
-	Urgency int       `json:"urgency"`
-	Came    time.Time `json:"came"`
-	Tries   []Try     `json:"tries"`
-	// Stalled is how long it waited for its adapter.
+	ID         string    `json:"id"`
+	RunID      string    `json:"run_id"`
+	Adapter    string    `json:"adapter"`
+	Urgency    int       `json:"urgency"`
+	ReceivedAt time.Time `json:"came"`
+	Tries      []Try     `json:"tries"`
+	// Stalled is how long the request waited for its adapter to be loaded.
 	Stalled time.Duration `json:"stalled"`
 	Result  result.Code   `json:"result"`
 	Took    time.Duration `json:"took"`
 }
 
-// Tried adds a try, up to a limit.
-func (r *Request) Tried(t Try) {
+// AddTry adds a try, up to a limit.
+func (r *Request) AddTry(t Try) {
 	if len(r.Tries) < maxTries {
-		t.After = time.Since(r.Came)
+		t.After = time.Since(r.ReceivedAt)
 		r.Tries = append(r.Tries, t)
 	}
 }
 
-// Log is a ring of the last requests.
+// Log is a ring buffer of the newest requests.
 type Log struct {
 	mu   sync.Mutex
 	ring [maxRequests]Request
@@ -57,7 +58,7 @@
 // New returns an empty Log.
 func New() *Log { return &Log{} }
 
-// Add keeps a request in place of the oldest.
+// Add stores a request and overwrites the oldest one if the Log is full.
 func (l *Log) Add(r Request) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,7 +66,7 @@
 	l.next++
 }
 
-// Find returns the kept requests with the id or for the adapter version, newest first, at most limit.
+// Find returns the stored requests with the request id, run id or adapter version, newest first, at most limit.
 func (l *Log) Find(idOrAdapter string, limit int) []Request {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -9,7 +9,7 @@
 	"github.com/bellgap/bellgap/internal/record"
 )
 
-func TestLogKeepsTheLast(t *testing.T) {
+func TestLogKeepsNewestRequests(t *testing.T) {
 	c := qt.New(t)
 	l := record.New()
 	for i := range 3000 {
@@ -22,7 +22,7 @@
 	c.Check(found[0].ID, qt.Equals, "2993")
 	var r record.Request
 	for range 100 {
-		r.Tried(record.Try{})
+		r.AddTry(record.Try{})
 	}
 	c.Check(r.Tries, qt.HasLen, 16)
 }
