--- a/internal/cli/ask.go
+++ b/internal/cli/ask.go
@@ -22,8 +22,8 @@
 
 func askCommand() *cli.Command {
 	return &cli.Command{
-		Name: "ask", Usage: "locate an adapter and stream one answer from it", ArgsUsage: "ADAPTER@VERSION PROMPT",
-		Flags:  []cli.Flag{&cli.StringFlag{Name: "at", Required: true, Usage: "ask the caller address `ADDRESS` of any box"}},
+		Name: "ask", Usage: "send one prompt to an adapter and print the streamed response", ArgsUsage: "ADAPTER@VERSION PROMPT",
+		Flags:  []cli.Flag{&cli.StringFlag{Name: "at", Required: true, Usage: "send the request to the caller address `ADDRESS` of any box"}},
 		Action: runAsk,
 	}
 }
@@ -31,12 +31,12 @@
 func runAsk(ctx context.Context, cmd *cli.Command) error {
 	model, prompt := cmd.Args().First(), cmd.Args().Get(1)
 	client := &operatorClient{base: "http://" + cmd.String("at"), http: &http.Client{Transport: httpx.NewTransport(1)}}
-	var where gateway.Located
-	if err := client.call(ctx, http.MethodGet, "/locate?model="+model, nil, &where); err != nil {
+	var location gateway.Located
+	if err := client.call(ctx, http.MethodGet, "/locate?model="+model, nil, &location); err != nil {
 		return err
 	}
-	if len(where.Addresses) == 0 {
-		return eris.New("locate named no address")
+	if len(location.Addresses) == 0 {
+		return eris.New("locate returned no address")
 	}
 	body, err := json.Marshal(map[string]any{
 		"model": model, "stream": true, "messages": []map[string]string{{"role": "user", "content": prompt}},
@@ -44,7 +44,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+where.Addresses[0]+"/v1/chat/completions", bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+location.Addresses[0]+"/v1/chat/completions", bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -14,10 +14,10 @@
 // Bench runs the policy benchmark and returns its exit status.
 func Bench(args []string, out, errOut io.Writer) int {
 	cmd := &cli.Command{
-		Name: "bellgapbench", Usage: "measure the decisions in virtual time beside simpler policies", Writer: out, ErrWriter: errOut,
+		Name: "bellgapbench", Usage: "compare the scheduling policy with simpler policies in a simulation in virtual time", Writer: out, ErrWriter: errOut,
 		Flags: []cli.Flag{
-			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "draw the requests from `SEED`"},
-			&cli.BoolFlag{Name: "steady", Usage: "run only the steady workloads"},
+			&cli.Uint64Flag{Name: "seed", Value: 1, Usage: "generate the requests from the random seed `SEED`"},
+			&cli.BoolFlag{Name: "steady", Usage: "run only the workloads without a change half-way"},
 		},
 		Action: runBench,
 	}
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -14,13 +14,13 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Output formats.
+// Values of the flag --output.
 const (
 	formatTable = "table"
 	formatJSON  = "json"
 )
 
-// operatorClient calls the operator address of a box.
+// operatorClient is an HTTP client for the operator API of a box.
 type operatorClient struct {
 	base string
 	http *http.Client
@@ -29,13 +29,13 @@
 func newOperatorClient(cmd *cli.Command) (*operatorClient, error) {
 	address := cmd.Root().String("box")
 	if address == "" {
-		return nil, eris.New("name a box: --box ADDRESS or BELLGAP_BOX")
+		return nil, eris.New("no box address given; use --box ADDRESS or set BELLGAP_BOX")
 	}
 	return &operatorClient{base: "http://" + address, http: &http.Client{Transport: httpx.NewTransport(1)}}, nil
 }
 
-// open sends a call and returns its body if it succeeded.
-func (c *operatorClient) open(ctx context.Context, method, path string, body []byte) (io.ReadCloser, error) {
+// send sends a request and returns the response body if the status is 200. The caller closes the body.
+func (c *operatorClient) send(ctx context.Context, method, path string, body []byte) (io.ReadCloser, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -48,20 +48,20 @@
 		return resp.Body, nil
 	}
 	defer httpx.Drain(resp.Body)
-	const maxError = 64 << 10
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxError))
+	const maxErrorBody = 64 << 10
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBody))
 	if e, ok := result.Decode(b); ok {
 		return nil, e
 	}
-	return nil, eris.Errorf("status %d from %s", resp.StatusCode, path)
+	return nil, eris.Errorf("unexpected status %d from %s", resp.StatusCode, path)
 }
 
-// call sends a call and decodes its JSON answer.
-func (c *operatorClient) call(ctx context.Context, method, path string, body []byte, into any) error {
-	rc, err := c.open(ctx, method, path, body)
+// call sends a request and decodes the JSON response into answer.
+func (c *operatorClient) call(ctx context.Context, method, path string, body []byte, answer any) error {
+	rc, err := c.send(ctx, method, path, body)
 	if err != nil {
 		return err
 	}
 	defer httpx.Drain(rc)
-	return json.NewDecoder(rc).Decode(into)
+	return json.NewDecoder(rc).Decode(answer)
 }
--- a/internal/cli/daemon.go
+++ b/internal/cli/daemon.go
@@ -1,4 +1,4 @@
-// Package cli holds the command lines of the programs.
+// Package cli implements the command lines of all programs of this project.
 package cli
 
 import (
@@ -19,13 +19,14 @@
 	"github.com/bellgap/bellgap/internal/settings"
 )
 
-// settingsVariable names the settings file where no flag does.
+// settingsVariable is the environment variable for the path of the settings file, used if the flag --settings is missing.
 const settingsVariable = "BELLGAP_BOOT"
 
 // Daemon runs bellgapd and returns its exit status.
 func Daemon(args []string, out, errOut io.Writer) int {
-	// Signals are the process's own from its first line to its last: not taken yet or given back, SIGHUP ends a box at once, as does
-	// SIGPIPE when nobody reads its log, and cuts the streams of one that leaves.
+	// Handle SIGHUP and ignore SIGPIPE from the first line of the process to its last. By default, SIGHUP ends a process at once. A box
+	// that is still starting would be stopped, and one that is already leaving would cut its streams. By default, SIGPIPE also ends a
+	// process at once, which happens when the reader of its log has gone.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
@@ -33,21 +34,21 @@
 		Name: "bellgapd", Usage: "serve LoRA adapters from a fleet of engines", Writer: out, ErrWriter: errOut,
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "settings", Aliases: []string{"s"}, Usage: "read the settings from `FILE`", Required: true, Sources: cli.EnvVars(settingsVariable)},
-			&cli.BoolFlag{Name: "check", Usage: "check the settings and exit"},
-			&cli.StringFlag{Name: "address-file", Usage: "write the addresses to `FILE` once listening"},
+			&cli.BoolFlag{Name: "check", Usage: "validate the settings file and exit"},
+			&cli.StringFlag{Name: "address-file", Usage: "write the listen addresses to `FILE` when the box accepts connections"},
 		},
 		Action: func(ctx context.Context, cmd *cli.Command) error { return runDaemon(ctx, cmd, hup) },
 	}
 	return run(cmd, args, errOut)
 }
 
-// run runs a command until it ends or the process is told to stop.
+// run runs a command until it returns or the process receives SIGTERM or an interrupt. It returns the exit status.
 func run(cmd *cli.Command, args []string, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	cmd.ExitErrHandler = func(context.Context, *cli.Command, error) {}
 	if err := cmd.Run(ctx, args); err != nil {
-		// Nothing is left to tell if even this cannot be written.
+		// There is no other place to report an error if writing to errOut fails.
 		_, _ = fmt.Fprintf(errOut, "%s: %v\n", cmd.Name, err)
 		return exitStatus(err)
 	}
@@ -64,12 +65,12 @@
 		_, err := fmt.Fprintln(cmd.Root().Writer, "settings are good")
 		return err
 	}
-	if err := setLog(s.Log.Level); err != nil {
+	if err := setLogLevel(s.Log.Level); err != nil {
 		return err
 	}
 	debug.SetGCPercent(s.Process.GCPercent)
 	if s.Platform.Form == settings.FormObjects {
-		return runRouted(ctx, s, file, hup)
+		return runRoutedBox(ctx, s, file, hup)
 	}
 	b, err := box.New(box.Config{Settings: s})
 	if err != nil {
@@ -77,21 +78,21 @@
 	}
 	klog.InfoS("listening", "box", s.Box.Name, "caller", b.CallerAddress(), "operator", b.OperatorAddress())
 	if path := cmd.String("address-file"); path != "" {
-		if err := writeAddress(path, fmt.Sprintf("%s %s", b.CallerAddress(), b.OperatorAddress())); err != nil {
+		if err := writeAddressFile(path, fmt.Sprintf("%s %s", b.CallerAddress(), b.OperatorAddress())); err != nil {
 			return err
 		}
 	}
-	return runRereading(ctx, s, file, hup, b.Run)
+	return runWithReload(ctx, s, file, hup, b.Run)
 }
 
-func setLog(level int) error {
+func setLogLevel(level int) error {
 	fs := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(fs)
 	return fs.Set("v", strconv.Itoa(level))
 }
 
-// logTo sends every line to w, once.
-func logTo(w io.Writer) error {
+// redirectLog writes every log line to w exactly once, whatever its severity.
+func redirectLog(w io.Writer) error {
 	fs := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(fs)
 	for _, f := range []struct{ name, value string }{{"logtostderr", "false"}, {"one_output", "true"}, {"stderrthreshold", "FATAL"}} {
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// writeAddress writes the file whole or not at all.
-func writeAddress(path, text string) error {
+// writeAddressFile writes the file atomically, so that readers never see a part of it.
+func writeAddressFile(path, text string) error {
 	const mode = 0o644
 	if err := os.WriteFile(path+".part", []byte(text+"\n"), mode); err != nil {
 		return err
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -17,28 +17,28 @@
 
 func explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "say where requests for an adapter version go, or why a recent request went as it did",
+		Name: "explain", Usage: "show the candidate engines of an adapter version, or the attempts and the result of a recent request",
 		ArgsUsage: "ADAPTER@VERSION|REQUEST", Action: runExplain,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "log", Usage: "read the log lines of boxes from `FILE`, - for standard input, instead of asking a box"},
+			&cli.StringFlag{Name: "log", Usage: "search the logs of boxes in `FILE` (- for standard input) instead of querying a box"},
 		},
 	}
 }
 
 func runExplain(ctx context.Context, cmd *cli.Command) error {
-	of := cmd.Args().First()
-	if of == "" {
-		return eris.New("name an adapter version or a request")
+	subject := cmd.Args().First()
+	if subject == "" {
+		return eris.New("no adapter version or request ID given")
 	}
 	if log := cmd.String("log"); log != "" {
-		return explainFromLog(cmd, log, of)
+		return explainFromLogFile(cmd, log, subject)
 	}
 	c, err := newOperatorClient(cmd)
 	if err != nil {
 		return err
 	}
 	var e operator.Explanation
-	if err := c.call(ctx, http.MethodGet, "/explain?of="+url.QueryEscape(of), nil, &e); err != nil {
+	if err := c.call(ctx, http.MethodGet, "/explain?of="+url.QueryEscape(subject), nil, &e); err != nil {
 		return err
 	}
 	if cmd.Root().String("output") == formatJSON {
@@ -46,7 +46,7 @@
 	}
 	w := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
 	for i, candidate := range e.Candidates {
-		// The tab writer keeps errors for Flush.
+		// The tabwriter buffers its output; Flush returns write errors.
 		_, _ = fmt.Fprintf(w, "choice %d\t%s\towner %s\tzone %s\n", i+1, candidate.Engine, candidate.Owner, candidate.Zone)
 	}
 	for _, r := range e.Requests {
@@ -55,7 +55,7 @@
 	return w.Flush()
 }
 
-// printRequest writes one request and its tries; the tab writer keeps errors for Flush.
+// printRequest prints one request and its attempts. Write errors are returned later by Flush of the tabwriter.
 func printRequest(w *tabwriter.Writer, r record.Request) {
 	_, _ = fmt.Fprintf(w, "request %s\t%s\turgency %d\t%d %s\ttook %s\twaited %s for its adapter\n",
 		r.ID, r.Adapter, r.Urgency, r.Result, r.Result, r.Took.Round(time.Microsecond), r.Stalled.Round(time.Microsecond))
--- a/internal/cli/explainlog.go
+++ b/internal/cli/explainlog.go
@@ -11,24 +11,25 @@
 	"github.com/bellgap/bellgap/internal/logline"
 )
 
-// explainFromLog prints the lines of a log that name a request, an engine or an adapter version, a value a row.
-func explainFromLog(cmd *cli.Command, path, wanted string) error {
+// explainFromLogFile prints the log lines that contain the subject as a value: a request ID, an engine or an adapter version.
+// Each field of a log line is printed on its own row.
+func explainFromLogFile(cmd *cli.Command, path, subject string) error {
 	in := io.Reader(os.Stdin)
 	if path != "-" {
 		f, err := os.Open(path)
 		if err != nil {
 			return eris.Wrap(err, "explain")
 		}
-		// A file that was only read has nothing to lose at its closing.
+		// The file is only read, so no data is lost if closing it fails.
 		defer func() { _ = f.Close() }()
 		in = f
 	}
-	lines, err := logline.Find(in, wanted)
+	lines, err := logline.Find(in, subject)
 	if err != nil {
 		return eris.Wrap(err, "explain")
 	}
 	if len(lines) == 0 {
-		return eris.Errorf("no line names %q", wanted)
+		return eris.Errorf("no log line contains %q", subject)
 	}
 	for _, l := range lines {
 		if err := printLine(cmd.Root().Writer, l); err != nil {
--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -18,19 +18,19 @@
 	"github.com/bellgap/bellgap/internal/httpx"
 )
 
-// Fake runs one of the stand-ins and returns its exit status.
+// Fake runs bellgapfake, which simulates one of the systems around bellgap, and returns its exit status.
 func Fake(args []string, out, errOut io.Writer) int {
 	listen := []cli.Flag{
 		&cli.StringFlag{Name: "listen", Value: "127.0.0.1:0", Usage: "listen on `ADDRESS`"},
-		&cli.StringFlag{Name: "address-file", Usage: "write the address to `FILE` once listening"},
+		&cli.StringFlag{Name: "address-file", Usage: "write the listen address to `FILE` when the program accepts connections"},
 	}
 	cmd := &cli.Command{
-		Name: "bellgapfake", Usage: "stand-ins for the systems around bellgap", Writer: out, ErrWriter: errOut,
+		Name: "bellgapfake", Usage: "simulate the systems around bellgap for tests", Writer: out, ErrWriter: errOut,
 		Commands: []*cli.Command{
-			{Name: "platform", Usage: "object API and box list", Flags: append(platformFlags(), listen...), Action: runFakePlatform},
-			{Name: "engine", Usage: "model engine", Flags: append(engineFlags(), listen...), Action: runFakeEngine},
-			{Name: "store", Usage: "weight store", Flags: append(storeFlags(), listen...), Action: runFakeStore},
-			{Name: "service", Usage: "plain service", Flags: append(append([]cli.Flag{&cli.StringFlag{Name: "name", Value: "service"}}, noticeFlags()...), listen...), Action: runFakeService},
+			{Name: "platform", Usage: "simulate the platform: object API and box list", Flags: append(platformFlags(), listen...), Action: runFakePlatform},
+			{Name: "engine", Usage: "simulate a model engine", Flags: append(engineFlags(), listen...), Action: runFakeEngine},
+			{Name: "store", Usage: "simulate a weight store", Flags: append(storeFlags(), listen...), Action: runFakeStore},
+			{Name: "service", Usage: "simulate a plain service", Flags: append(append([]cli.Flag{&cli.StringFlag{Name: "name", Value: "service"}}, noticeFlags()...), listen...), Action: runFakeService},
 		},
 	}
 	return run(cmd, args, errOut)
@@ -38,37 +38,37 @@
 
 func platformFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.IntFlag{Name: "adapters", Usage: "declare `N` adapters with one version each at the start"},
-		&cli.StringFlag{Name: "base-model", Value: "plain-7b", Usage: "base model of those adapters"},
+		&cli.IntFlag{Name: "adapters", Usage: "create `N` adapters with one version each at start-up"},
+		&cli.StringFlag{Name: "base-model", Value: "plain-7b", Usage: "base model of the created adapters"},
 	}
 }
 
-// noticeFlags are for what a stand-in says of itself.
+// noticeFlags returns the flags for the notices that a simulated endpoint sends in its response headers.
 func noticeFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "rate", Usage: "name `N` in all answers as the requests a second taken from all boxes"},
-		&cli.BoolFlag{Name: "leaving", Usage: "say in all answers that it leaves"},
-		&cli.StringFlag{Name: "rest", Usage: "turn all requests away and ask for `SECONDS` of rest"},
+		&cli.StringFlag{Name: "rate", Usage: "report a rate limit of `N` requests per second for all boxes together in every response"},
+		&cli.BoolFlag{Name: "leaving", Usage: "report in every response that the endpoint is leaving"},
+		&cli.StringFlag{Name: "rest", Usage: "refuse all requests and request a pause of `SECONDS` from each box"},
 	}
 }
 
 func engineFlags() []cli.Flag {
 	return append([]cli.Flag{
 		&cli.StringFlag{Name: "name", Value: "engine"},
-		&cli.StringFlag{Name: "store", Usage: "fetch weights from the store at `ADDRESS`"},
-		&cli.IntFlag{Name: "slots", Value: 8, Usage: "adapters held at once"},
-		&cli.IntFlag{Name: "batch", Value: 16, Usage: "sequences in a step"},
-		&cli.DurationFlag{Name: "step", Value: 20 * time.Millisecond, Usage: "time of a step"},
-		&cli.DurationFlag{Name: "report-lag", Value: time.Second, Usage: "age of reports"},
-		&cli.BoolFlag{Name: "unchecked", Usage: "take orders of any epoch"},
+		&cli.StringFlag{Name: "store", Usage: "fetch weights from the weight store at `ADDRESS`"},
+		&cli.IntFlag{Name: "slots", Value: 8, Usage: "maximum number of loaded adapters"},
+		&cli.IntFlag{Name: "batch", Value: 16, Usage: "maximum number of sequences in a batch step"},
+		&cli.DurationFlag{Name: "step", Value: 20 * time.Millisecond, Usage: "duration of a batch step"},
+		&cli.DurationFlag{Name: "report-lag", Value: time.Second, Usage: "delay of the state reports"},
+		&cli.BoolFlag{Name: "unchecked", Usage: "accept orders of outdated epochs"},
 	}, noticeFlags()...)
 }
 
 func storeFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.FloatFlag{Name: "per-second", Value: 3, Usage: "loads a second"},
-		&cli.IntFlag{Name: "at-once", Value: 2, Usage: "loads at full speed"},
-		&cli.DurationFlag{Name: "load-time", Value: 300 * time.Millisecond, Usage: "time of a load at full speed"},
+		&cli.FloatFlag{Name: "per-second", Value: 3, Usage: "maximum number of loads per second"},
+		&cli.IntFlag{Name: "at-once", Value: 2, Usage: "number of concurrent loads that run at full speed"},
+		&cli.DurationFlag{Name: "load-time", Value: 300 * time.Millisecond, Usage: "duration of a load at full speed"},
 	}
 }
 
@@ -86,15 +86,15 @@
 		ReportLag: cmd.Duration("report-lag"), ChecksOrders: !cmd.Bool("unchecked"),
 	}
 	if store := cmd.String("store"); store != "" {
-		cfg.Fetch = fetchFrom(store)
+		cfg.Fetch = newWeightFetcher(store)
 	}
 	e := fakeengine.New(cfg)
 	e.SetFaults(fakeengine.Faults{Rate: cmd.String("rate"), Leaving: cmd.Bool("leaving"), Rest: cmd.String("rest")})
 	return serveFake(ctx, cmd, e.Handler())
 }
 
-// fetchFrom returns the engine's way to get weights from the store.
-func fetchFrom(store string) func(context.Context, string) error {
+// newWeightFetcher returns a function that downloads weights from the weight store at an address.
+func newWeightFetcher(store string) func(context.Context, string) error {
 	client := &http.Client{Transport: httpx.NewTransport(1)}
 	return func(ctx context.Context, weights string) error {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+store+"/weights/"+weights, nil)
@@ -107,7 +107,7 @@
 		}
 		defer httpx.Drain(resp.Body)
 		if resp.StatusCode != http.StatusOK {
-			return eris.Errorf("store: status %d", resp.StatusCode)
+			return eris.Errorf("weight store: unexpected status %d", resp.StatusCode)
 		}
 		return nil
 	}
@@ -126,19 +126,19 @@
 }
 
 func serveFake(ctx context.Context, cmd *cli.Command, h http.Handler) error {
-	l, err := net.Listen("tcp", cmd.String("listen"))
+	listener, err := net.Listen("tcp", cmd.String("listen"))
 	if err != nil {
 		return eris.Wrap(err, "bellgapfake: listen")
 	}
 	if path := cmd.String("address-file"); path != "" {
-		if err := writeAddress(path, l.Addr().String()); err != nil {
+		if err := writeAddressFile(path, listener.Addr().String()); err != nil {
 			return err
 		}
 	}
-	if _, err := fmt.Fprintln(cmd.Root().Writer, l.Addr()); err != nil {
+	if _, err := fmt.Fprintln(cmd.Root().Writer, listener.Addr()); err != nil {
 		return err
 	}
-	if err := httpx.Serve(ctx, httpx.NewServer(h), l); ctx.Err() == nil {
+	if err := httpx.Serve(ctx, httpx.NewServer(h), listener); ctx.Err() == nil {
 		return err
 	}
 	return nil
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -15,9 +15,9 @@
 
 func quarantineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "quarantine", Usage: "print the requests under which endpoints have ended", Action: runQuarantine,
+		Name: "quarantine", Usage: "list the requests that endpoints crashed while running", Action: runQuarantine,
 		Commands: []*cli.Command{{
-			Name: "release", Usage: "let requests with a FINGERPRINT pass again, on all boxes", ArgsUsage: "FINGERPRINT", Action: runRelease,
+			Name: "release", Usage: "allow requests with a FINGERPRINT again on all boxes", ArgsUsage: "FINGERPRINT", Action: runRelease,
 		}},
 	}
 }
@@ -35,15 +35,15 @@
 		return printJSON(cmd, cases)
 	}
 	w := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
-	// The tab writer keeps errors for Flush.
+	// The tabwriter buffers its output; Flush returns write errors.
 	_, _ = fmt.Fprintln(w, "FINGERPRINT\tENDED\tHELD SINCE\tREQUEST")
-	for _, one := range cases {
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", one.Fingerprint, one.Count(), heldSince(one), one.What)
+	for _, entry := range cases {
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", entry.Fingerprint, entry.Count(), heldSince(entry), entry.What)
 	}
 	return w.Flush()
 }
 
-// heldSince returns when a request came to be held, or that it is not.
+// heldSince returns the time since which all boxes refuse the requests of a case, or "not held" if they accept them.
 func heldSince(c quarantine.Case) string {
 	if c.Since == 0 {
 		return "not held"
@@ -54,14 +54,14 @@
 func runRelease(ctx context.Context, cmd *cli.Command) error {
 	fingerprint := cmd.Args().First()
 	if fingerprint == "" {
-		return eris.New("name a fingerprint")
+		return eris.New("no fingerprint given")
 	}
 	c, err := newOperatorClient(cmd)
 	if err != nil {
 		return err
 	}
-	var done struct{}
-	if err := c.call(ctx, http.MethodDelete, "/quarantine/"+fingerprint, nil, &done); err != nil {
+	var answer struct{}
+	if err := c.call(ctx, http.MethodDelete, "/quarantine/"+fingerprint, nil, &answer); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(cmd.Root().Writer, "%s passes again\n", fingerprint)
--- a/internal/cli/resources.go
+++ b/internal/cli/resources.go
@@ -23,10 +23,10 @@
 
 func applyCommand() *cli.Command {
 	return &cli.Command{
-		Name: "apply", Usage: "create or change the resources declared in files",
+		Name: "apply", Usage: "create or update the resources declared in files",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "file", Aliases: []string{"f"}, Required: true, Usage: "read resources from `FILE` (TOML or JSON; - for standard input)"},
-			&cli.BoolFlag{Name: "dry-run", Usage: "say what would change and write nothing"},
+			&cli.BoolFlag{Name: "dry-run", Usage: "print the changes without writing them"},
 		},
 		Action: runApply,
 	}
@@ -57,15 +57,15 @@
 		return err
 	}
 	path := resourcePath(r.Kind, r.Name) + "?dry_run=" + strconv.FormatBool(dryRun)
-	var done operator.Written
-	if err := c.call(ctx, http.MethodPut, path, body, &done); err != nil {
+	var written operator.WriteResult
+	if err := c.call(ctx, http.MethodPut, path, body, &written); err != nil {
 		return fmt.Errorf("%s/%s: %w", r.Kind, r.Name, err)
 	}
 	suffix := ""
 	if dryRun {
 		suffix = " (dry run)"
 	}
-	_, err = fmt.Fprintf(out, "%s/%s %s at version %s%s\n", strings.ToLower(string(r.Kind)), r.Name, done.Outcome, done.Version, suffix)
+	_, err = fmt.Fprintf(out, "%s/%s %s at version %s%s\n", strings.ToLower(string(r.Kind)), r.Name, written.Outcome, written.Version, suffix)
 	return err
 }
 
@@ -73,12 +73,12 @@
 	return "/resources/" + string(kind) + "/" + url.PathEscape(name)
 }
 
-// resourceFile is a TOML file with [[resource]] tables.
+// resourceFile is the structure of a TOML file that declares resources in [[resource]] tables.
 type resourceFile struct {
 	Resource []map[string]any `toml:"resource"`
 }
 
-// readResources reads a file and checks every resource before any is sent.
+// readResources reads a file and validates all of its resources, so that none is sent if one is invalid.
 func readResources(path string) ([]resource.Resource, error) {
 	b, err := readFile(path)
 	if err != nil {
@@ -116,7 +116,7 @@
 	}
 	for _, k := range meta.Undecoded() {
 		if k[0] != "resource" {
-			return nil, eris.Errorf("%s: unknown key; resources are [[resource]] tables", k)
+			return nil, eris.Errorf("%s: unknown key; declare resources in [[resource]] tables", k)
 		}
 	}
 	return json.Marshal(f.Resource)
@@ -124,7 +124,7 @@
 
 func getCommand() *cli.Command {
 	return &cli.Command{
-		Name: "get", Usage: "print the resources of a KIND, or the one with NAME", ArgsUsage: "KIND [NAME]", Action: runGet,
+		Name: "get", Usage: "print all resources of a KIND, or only the resource NAME", ArgsUsage: "KIND [NAME]", Action: runGet,
 	}
 }
 
@@ -154,7 +154,7 @@
 		return printJSON(cmd, items)
 	}
 	w := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
-	// The tab writer keeps errors for Flush.
+	// The tabwriter buffers its output; Flush returns write errors.
 	_, _ = fmt.Fprintln(w, "NAME\tVERSION\tSPEC")
 	for _, it := range items {
 		spec, err := json.Marshal(it.Resource.Spec)
@@ -184,8 +184,8 @@
 			if err != nil {
 				return err
 			}
-			var done operator.Written
-			if err := c.call(ctx, http.MethodDelete, resourcePath(kind, cmd.Args().Get(1)), nil, &done); err != nil {
+			var written operator.WriteResult
+			if err := c.call(ctx, http.MethodDelete, resourcePath(kind, cmd.Args().Get(1)), nil, &written); err != nil {
 				return err
 			}
 			_, err = fmt.Fprintf(cmd.Root().Writer, "%s/%s deleted\n", strings.ToLower(string(kind)), cmd.Args().Get(1))
@@ -196,13 +196,13 @@
 
 func watchCommand() *cli.Command {
 	return &cli.Command{
-		Name: "watch", Usage: "print the resources of a KIND, then each change as it comes", ArgsUsage: "KIND",
+		Name: "watch", Usage: "print the resources of a KIND, then each change as it happens", ArgsUsage: "KIND",
 		Action: func(ctx context.Context, cmd *cli.Command) error {
 			c, err := newOperatorClient(cmd)
 			if err != nil {
 				return err
 			}
-			rc, err := c.open(ctx, http.MethodGet, "/watch?kind="+url.QueryEscape(cmd.Args().First()), nil)
+			rc, err := c.send(ctx, http.MethodGet, "/watch?kind="+url.QueryEscape(cmd.Args().First()), nil)
 			if err != nil {
 				return err
 			}
--- a/internal/cli/routed.go
+++ b/internal/cli/routed.go
@@ -15,86 +15,86 @@
 	"github.com/bellgap/bellgap/platform"
 )
 
-// Connections kept open to the store and to one worker's orders and reports.
+// Limits of the idle connections that are kept open: to the store, and to each worker for its orders and reports.
 const (
-	connsToStore  = 8
-	connsToWorker = 4
+	maxIdleStoreConns  = 8
+	maxIdleWorkerConns = 4
 )
 
-// runRouted runs a box on the platform that platform/ speaks to, with its log on standard output.
-func runRouted(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal) error {
+// runRoutedBox runs a box that uses the platform of package platform. It logs to standard output.
+func runRoutedBox(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal) error {
 	sink := logsink.New(logsink.Config{Out: os.Stdout})
-	if err := logTo(sink); err != nil {
+	if err := redirectLog(sink); err != nil {
 		return err
 	}
-	logging, stopLog := context.WithCancel(context.WithoutCancel(ctx))
-	var log errgroup.Group
-	log.Go(func() error { return sink.Serve(logging) })
-	err := serveRouted(ctx, s, path, hup)
+	logCtx, stopLog := context.WithCancel(context.WithoutCancel(ctx))
+	var logGroup errgroup.Group
+	logGroup.Go(func() error { return sink.Serve(logCtx) })
+	err := serveRoutedBox(ctx, s, path, hup)
 	klog.InfoS("stopped", "box", s.Box.Name, "err", err, "lines_left_out", sink.Dropped())
 	stopLog()
-	// The sink ends with its context and has no other error.
-	_ = log.Wait()
+	// Serve only returns when its context is cancelled, so the error carries no information.
+	_ = logGroup.Wait()
 	return err
 }
 
-func serveRouted(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal) error {
-	store := platform.NewStore(platform.StoreConfig{Address: s.Platform.Address, HTTP: &http.Client{Transport: httpx.NewTransport(connsToStore)}})
-	keep := s.Request.LocateKeep
+func serveRoutedBox(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal) error {
+	store := platform.NewStore(platform.StoreConfig{Address: s.Platform.Address, HTTP: &http.Client{Transport: httpx.NewTransport(maxIdleStoreConns)}})
+	locateKeep := s.Request.LocateKeep
 	b, err := box.NewRouted(box.RoutedConfig{Settings: s, Deployment: box.Deployment{
 		API: store, Source: store, Wire: platform.Wire{},
-		Engines: platform.NewWorkers(platform.WorkersConfig{Box: s.Box.Name, HTTP: &http.Client{Transport: httpx.NewTransport(connsToWorker)}}),
+		Engines: platform.NewWorkers(platform.WorkersConfig{Box: s.Box.Name, HTTP: &http.Client{Transport: httpx.NewTransport(maxIdleWorkerConns)}}),
 		Directory: func(b *box.Routed) http.Handler {
-			return platform.DirectoryHandler(platform.EdgeConfig{Fleet: b, Keep: keep})
+			return platform.DirectoryHandler(platform.EdgeConfig{Fleet: b, Keep: locateKeep})
 		},
 		Ready: func(b *box.Routed) http.Handler {
-			return platform.ReadyHandler(platform.EdgeConfig{Fleet: b, Keep: keep})
+			return platform.ReadyHandler(platform.EdgeConfig{Fleet: b, Keep: locateKeep})
 		},
 	}})
 	if err != nil {
 		return err
 	}
 	klog.InfoS("started", "box", s.Box.Name, "zone", s.Box.Zone, "caller", s.Listen.Caller, "store", s.Platform.Address)
-	return runRereading(ctx, s, path, hup, b.Run)
+	return runWithReload(ctx, s, path, hup, b.Run)
 }
 
-// runRereading runs a box, which leaves when ctx ends, and reads the settings file again when told until the box has left.
-func runRereading(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal, run func(context.Context) error) error {
-	running, left := context.WithCancel(context.WithoutCancel(ctx))
-	defer left()
+// runWithReload runs a box, which leaves when ctx is cancelled. It reloads the settings file on each SIGHUP until the box has left.
+func runWithReload(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal, run func(context.Context) error) error {
+	reloadCtx, stopReload := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopReload()
 	var group errgroup.Group
-	group.Go(func() error { watchReload(running, s, path, hup); return nil })
+	group.Go(func() error { reloadOnSignal(reloadCtx, s, path, hup); return nil })
 	group.Go(func() error {
-		defer left()
+		defer stopReload()
 		return run(ctx)
 	})
 	return group.Wait()
 }
 
-// watchReload reads the settings file again when told. The log's verbosity takes effect at once; what a box is made of is set at
-// its start. A file that cannot be read leaves the settings in force.
-func watchReload(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal) {
+// reloadOnSignal reloads the settings file on each SIGHUP until ctx is cancelled. Only a new log level takes effect at once; the other
+// settings are applied when the box starts. If the file cannot be loaded, the previous settings stay in force.
+func reloadOnSignal(ctx context.Context, s settings.Settings, path string, hup <-chan os.Signal) {
 	for {
 		select {
 		case <-hup:
-			s = reload(s, path)
+			s = reloadSettings(s, path)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func reload(s settings.Settings, path string) settings.Settings {
-	next, err := settings.Load(path)
+func reloadSettings(s settings.Settings, path string) settings.Settings {
+	reloaded, err := settings.Load(path)
 	if err != nil {
-		klog.ErrorS(err, "settings not reloaded; the last ones stay in force", "file", path)
+		klog.ErrorS(err, "settings not reloaded; the previous settings stay in force", "file", path)
 		return s
 	}
-	if next.Log.Level != s.Log.Level {
-		if err := setLog(next.Log.Level); err != nil {
-			klog.ErrorS(err, "verbosity not set", "level", next.Log.Level)
+	if reloaded.Log.Level != s.Log.Level {
+		if err := setLogLevel(reloaded.Log.Level); err != nil {
+			klog.ErrorS(err, "log level not changed", "level", reloaded.Log.Level)
 		}
 	}
-	klog.InfoS("settings reloaded", "file", path, "level", next.Log.Level, "changed", !next.Equal(s))
-	return next
+	klog.InfoS("settings reloaded", "file", path, "level", reloaded.Log.Level, "changed", !reloaded.Equal(s))
+	return reloaded
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -20,17 +20,17 @@
 
 func statusCommand() *cli.Command {
 	return &cli.Command{
-		Name: "status", Usage: "print the state of the box and of the fleet as it sees it",
+		Name: "status", Usage: "print the state of the box, and of the fleet as seen by this box",
 		Flags: []cli.Flag{
 			&cli.DurationFlag{Name: "wait", Usage: "wait up to `TIME` until the box is ready and every engine has an owner"},
-			&cli.BoolFlag{Name: "all", Usage: "list every engine, however many there are"},
-			&cli.StringFlag{Name: "revision", Value: "0", Usage: "with --wait, also until the box has `REVISION` in force, as apply prints it"},
+			&cli.BoolFlag{Name: "all", Usage: "list every engine, even in a large fleet"},
+			&cli.StringFlag{Name: "revision", Value: "0", Usage: "with --wait, also wait until the box has applied `REVISION` (the version that apply prints)"},
 		},
 		Action: runStatus,
 	}
 }
 
-const statusPoll = 100 * time.Millisecond
+const statusPollInterval = 100 * time.Millisecond
 
 func runStatus(ctx context.Context, cmd *cli.Command) error {
 	c, err := newOperatorClient(cmd)
@@ -41,19 +41,19 @@
 	if err != nil {
 		return result.New(result.BadRequest, "%v", err)
 	}
-	until := time.Now().Add(cmd.Duration("wait"))
+	deadline := time.Now().Add(cmd.Duration("wait"))
 	for {
-		st, t, err := readStatus(ctx, c)
-		if err == nil && (cmd.Duration("wait") == 0 || settled(st, t, revision)) {
-			return printStatus(cmd, st, t)
+		st, topology, err := readStatus(ctx, c)
+		if err == nil && (cmd.Duration("wait") == 0 || isFleetReady(st, topology, revision)) {
+			return printStatus(cmd, st, topology)
 		}
-		if !time.Now().Before(until) {
+		if !time.Now().Before(deadline) {
 			if err == nil {
-				err = result.New(result.NotReady, "not settled within %s", cmd.Duration("wait"))
+				err = result.New(result.NotReady, "box or engines not ready within %s", cmd.Duration("wait"))
 			}
 			return err
 		}
-		time.Sleep(statusPoll)
+		time.Sleep(statusPollInterval)
 	}
 }
 
@@ -67,37 +67,37 @@
 	return st, t, err
 }
 
-func settled(st operator.Status, t catalog.Topology, revision objects.Position) bool {
-	for _, e := range t.Engines {
+func isFleetReady(st operator.Status, topology catalog.Topology, revision objects.Position) bool {
+	for _, e := range topology.Engines {
 		if e.Owner.Box == "" {
 			return false
 		}
 	}
-	return st.Ready && len(t.Engines) > 0 && st.Revision >= revision
+	return st.Ready && len(topology.Engines) > 0 && st.Revision >= revision
 }
 
-func printStatus(cmd *cli.Command, st operator.Status, t catalog.Topology) error {
+func printStatus(cmd *cli.Command, st operator.Status, topology catalog.Topology) error {
 	if cmd.Root().String("output") == formatJSON {
 		return printJSON(cmd, struct {
 			Status   operator.Status  `json:"status"`
 			Topology catalog.Topology `json:"topology"`
-		}{st, t})
+		}{st, topology})
 	}
 	w := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
-	// The tab writer keeps errors for Flush.
+	// The tabwriter buffers its output; Flush returns write errors.
 	_, _ = fmt.Fprintf(w, "box %s ready=%t revision=%s in_flight=%d cell=%s coordinator=%s frozen=%t heard=%s ago aggregator=%s passes_on=%d\n",
 		st.Box, st.Ready, st.Revision, st.InFlight, st.Member.Cell, st.Member.Coordinator, st.Member.Frozen,
 		st.Member.SinceReply.Round(time.Millisecond), cmp.Or(st.Member.Aggregator, "none"), st.Member.PassesOn)
-	if r := st.Restored; r != nil {
+	if r := st.LastRestore; r != nil {
 		_, _ = fmt.Fprintf(w, "store came back from an older copy: era %d, %s ago; kept %d objects that it lacks, withheld %d that had gone\n",
 			r.Era, r.Ago.Round(time.Second), r.Kept, r.Withheld)
 	}
-	all := summarize(t, st.Member.Coordinator, st.Member.Cell)
-	all.addLimits(st.Limits)
-	all.addNotices(st.Left, st.Rests)
-	all.print(w)
-	if len(t.Engines) <= longList || cmd.Bool("all") {
-		printEngines(w, t)
+	fleet := summarize(topology, st.Member.Coordinator, st.Member.Cell)
+	fleet.addRateLimits(st.RateLimits)
+	fleet.addNotices(st.LeavingEndpoints, st.PausedEndpoints)
+	fleet.print(w)
+	if len(topology.Engines) <= maxListedEngines || cmd.Bool("all") {
+		printEngines(w, topology)
 	}
 	for _, e := range st.Engines {
 		_, _ = fmt.Fprintf(w, "owned %s\tin_flight=%d\twaiting=%d\tfrozen=%t\tleft=%t\trate_refused=%d\t%s\n", e.Engine, e.InFlight, e.Waiting, e.Frozen, e.Left, e.RateRefused, strings.Join(e.Loaded, " "))
@@ -115,11 +115,11 @@
 
 func codesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "codes", Usage: "print the result codes",
+		Name: "codes", Usage: "print the table of result codes",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			w := tabwriter.NewWriter(cmd.Root().Writer, 0, 0, 2, ' ', 0)
 			for _, i := range result.All() {
-				// The tab writer keeps errors for Flush.
+				// The tabwriter buffers its output; Flush returns write errors.
 				_, _ = fmt.Fprintf(w, "%d\t%s\t%d\tran=%s\t%s\n", i.Code, i.Name, i.Status, i.Ran, i.Text)
 			}
 			return w.Flush()
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -15,65 +15,67 @@
 )
 
 const (
-	// longList is the number of engines from which the status lists them on request only.
-	longList = 40
-	// namesShown bounds the names of what is degraded.
-	namesShown = 10
+	// maxListedEngines is the largest fleet for which the status lists every engine by default. Larger fleets need the flag --all.
+	maxListedEngines = 40
+	// maxListedNames limits the names in each line of boxes, engines, requests or endpoints that need attention.
+	maxListedNames = 10
 )
 
-// zoneSummary counts what there is in one availability zone.
+// zoneSummary counts the boxes and engines of one availability zone by state.
 type zoneSummary struct {
 	boxes, silent, leaving, aggregators, engines, ownerless int
 }
 
-// summary is the fleet as one box sees it, by availability zone.
+// summary describes the fleet as one box sees it, with counts for each availability zone.
 type summary struct {
 	zones map[string]*zoneSummary
-	// silent, leaving and ownerless name what is degraded, held the requests that reach no endpoint.
-	silent, leaving, ownerless, held []string
-	// limited names the endpoints that take so many requests a second, left those that have said they leave, resting those that this box lets rest.
-	limited, left, resting []string
+	// silentBoxes, leavingBoxes and ownerlessEngines list names, quarantined lists the fingerprints of the requests that are refused.
+	silentBoxes, leavingBoxes, ownerlessEngines, quarantined []string
+	// rateLimited, leavingEndpoints and pausedEndpoints list endpoints by the notices that they sent: a rate limit, that they are
+	// leaving, or that they request a pause from this box. Each entry has the name followed by details.
+	rateLimited, leavingEndpoints, pausedEndpoints []string
 }
 
-func summarize(t catalog.Topology, coordinatedBy, cell string) summary {
+func summarize(topology catalog.Topology, coordinatorBox, cell string) summary {
 	s := summary{zones: map[string]*zoneSummary{}}
-	m := coordinator.Map{Cell: cell, Coordinator: coordinatedBy}
-	for _, name := range sortedKeys(t.Boxes) {
-		m.Members = append(m.Members, t.Boxes[name])
-		s.addBox(t.Boxes[name])
+	cellMap := coordinator.Map{Cell: cell, Coordinator: coordinatorBox}
+	for _, name := range sortedKeys(topology.Boxes) {
+		cellMap.Members = append(cellMap.Members, topology.Boxes[name])
+		s.addBox(topology.Boxes[name])
 	}
-	for _, b := range m.Members {
-		if chosen := aggregator.Choose(m, b.Box, b.Zone); len(chosen) == 1 && chosen[0].Box == b.Box {
-			s.zone(b.Zone).aggregators++
+	for _, b := range cellMap.Members {
+		if chosen := aggregator.Choose(cellMap, b.Box, b.Zone); len(chosen) == 1 && chosen[0].Box == b.Box {
+			s.zoneSummaryOf(b.Zone).aggregators++
 		}
 	}
-	for _, name := range sortedKeys(t.Engines) {
-		s.addEngine(name, t.Engines[name])
+	for _, name := range sortedKeys(topology.Engines) {
+		s.addEngine(name, topology.Engines[name])
 	}
-	for _, h := range t.Quarantined {
-		s.held = append(s.held, h.Fingerprint.String())
+	for _, held := range topology.Quarantined {
+		s.quarantined = append(s.quarantined, held.Fingerprint.String())
 	}
 	return s
 }
 
-// addLimits adds the endpoints that name rates, with what they name and for how long.
-func (s *summary) addLimits(all []ratelimit.Limit) {
-	for _, l := range all {
-		s.limited = append(s.limited, fmt.Sprintf("%s %.3g/s for %s", l.Endpoint, l.Rate, l.For.Round(time.Second)))
+// addRateLimits adds the endpoints that report a rate limit. Each entry has the rate and how long the endpoint has reported one.
+func (s *summary) addRateLimits(limits []ratelimit.Limit) {
+	for _, l := range limits {
+		s.rateLimited = append(s.rateLimited, fmt.Sprintf("%s %.3g/s for %s", l.Endpoint, l.Rate, l.For.Round(time.Second)))
 	}
 }
 
-// addNotices adds the endpoints that have said they leave, with how long ago, and those that have asked for rest, with what is left of it.
-func (s *summary) addNotices(left []notice.Left, rests []notice.Resting) {
-	for _, l := range left {
-		s.left = append(s.left, fmt.Sprintf("%s %s ago", l.Endpoint, l.Age.Round(time.Second)))
+// addNotices adds the endpoints that are leaving, with the time since their notice, and the endpoints that requested a pause, with the
+// remaining time of the pause.
+func (s *summary) addNotices(leaving []notice.Left, paused []notice.Resting) {
+	for _, l := range leaving {
+		s.leavingEndpoints = append(s.leavingEndpoints, fmt.Sprintf("%s %s ago", l.Endpoint, l.Age.Round(time.Second)))
 	}
-	for _, r := range rests {
-		s.resting = append(s.resting, fmt.Sprintf("%s for %s", r.Endpoint, r.Left.Round(time.Second/10)))
+	for _, r := range paused {
+		s.pausedEndpoints = append(s.pausedEndpoints, fmt.Sprintf("%s for %s", r.Endpoint, r.Left.Round(time.Second/10)))
 	}
 }
 
-func (s *summary) zone(name string) *zoneSummary {
+func (s *summary) zoneSummaryOf(name string) *zoneSummary {
 	if s.zones[name] == nil {
 		s.zones[name] = &zoneSummary{}
 	}
@@ -81,43 +83,44 @@
 }
 
 func (s *summary) addBox(b coordinator.Member) {
-	z := s.zone(b.Zone)
+	z := s.zoneSummaryOf(b.Zone)
 	z.boxes++
 	switch {
 	case b.Silent:
 		z.silent++
-		s.silent = append(s.silent, b.Box)
+		s.silentBoxes = append(s.silentBoxes, b.Box)
 	case b.Leaving:
 		z.leaving++
-		s.leaving = append(s.leaving, b.Box)
+		s.leavingBoxes = append(s.leavingBoxes, b.Box)
 	}
 }
 
 func (s *summary) addEngine(name string, e catalog.EngineView) {
-	z := s.zone(e.Spec.Zone)
+	z := s.zoneSummaryOf(e.Spec.Zone)
 	z.engines++
 	if e.Owner.Box == "" {
 		z.ownerless++
-		s.ownerless = append(s.ownerless, name)
+		s.ownerlessEngines = append(s.ownerlessEngines, name)
 	}
 }
 
-// print writes what is degraded first, then the zones. The tab writer that it is given keeps errors for its end.
+// print writes the lists of boxes, engines, requests and endpoints that need attention, then the table of zones. It ignores write
+// errors, because w is a tabwriter that returns them at Flush.
 func (s *summary) print(w io.Writer) {
-	for _, d := range []struct {
-		what  string
+	for _, group := range []struct {
+		label string
 		names []string
 	}{
-		{"silent boxes", s.silent},
-		{"leaving boxes", s.leaving},
-		{"engines without owner", s.ownerless},
-		{"requests in quarantine", s.held},
-		{"endpoints that name rates", s.limited},
-		{"endpoints that leave", s.left},
-		{"endpoints that rest", s.resting},
+		{"silent boxes", s.silentBoxes},
+		{"leaving boxes", s.leavingBoxes},
+		{"engines without owner", s.ownerlessEngines},
+		{"requests in quarantine", s.quarantined},
+		{"endpoints that name rates", s.rateLimited},
+		{"endpoints that leave", s.leavingEndpoints},
+		{"endpoints that rest", s.pausedEndpoints},
 	} {
-		if len(d.names) > 0 {
-			_, _ = fmt.Fprintf(w, "%s: %d: %s\n", d.what, len(d.names), someOf(d.names))
+		if len(group.names) > 0 {
+			_, _ = fmt.Fprintf(w, "%s: %d: %s\n", group.label, len(group.names), joinNames(group.names))
 		}
 	}
 	_, _ = fmt.Fprintln(w, "ZONE\tBOXES\tSILENT\tLEAVING\tAGGREGATORS\tENGINES\tNO OWNER")
@@ -127,10 +130,10 @@
 	}
 }
 
-func someOf(names []string) string {
+func joinNames(names []string) string {
 	names = slices.Sorted(slices.Values(names))
-	if extra := len(names) - namesShown; extra > 0 {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:namesShown], " "), extra)
+	if omitted := len(names) - maxListedNames; omitted > 0 {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxListedNames], " "), omitted)
 	}
 	return strings.Join(names, " ")
 }
--- a/internal/cli/summary_test.go
+++ b/internal/cli/summary_test.go
@@ -13,19 +13,19 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestSummaryOfHundredsOfBoxes: the status of 300 boxes fits a screen, and what is degraded comes first.
+// TestSummaryOfHundredsOfBoxes checks that the status of 300 boxes fits on one screen and lists degraded boxes and engines first.
 func TestSummaryOfHundredsOfBoxes(t *testing.T) {
 	c := qt.New(t)
-	fleet := catalog.Topology{Boxes: map[string]coordinator.Member{}, Engines: map[string]catalog.EngineView{}}
+	topology := catalog.Topology{Boxes: map[string]coordinator.Member{}, Engines: map[string]catalog.EngineView{}}
 	for i := range 300 {
 		box := coordinator.Member{Box: fmt.Sprintf("box-%03d", i), Zone: fmt.Sprint("zone-", i%4), Silent: i%20 == 0, Leaving: i == 7}
-		fleet.Boxes[box.Box] = box
+		topology.Boxes[box.Box] = box
 		name := fmt.Sprintf("engine-%03d", i)
-		fleet.Engines[name] = catalog.EngineView{Name: name, Spec: &resource.Engine{Zone: box.Zone}, Owner: box}
+		topology.Engines[name] = catalog.EngineView{Name: name, Spec: &resource.Engine{Zone: box.Zone}, Owner: box}
 	}
-	fleet.Engines["engine-000"] = catalog.EngineView{Name: "engine-000", Spec: &resource.Engine{Zone: "zone-0"}}
+	topology.Engines["engine-000"] = catalog.EngineView{Name: "engine-000", Spec: &resource.Engine{Zone: "zone-0"}}
 	var out bytes.Buffer
-	s := summarize(fleet, "box-001", "default")
+	s := summarize(topology, "box-001", "default")
 	s.print(&out)
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	c.Check(lines, qt.DeepEquals, []string{
--- a/internal/cli/tool.go
+++ b/internal/cli/tool.go
@@ -9,13 +9,13 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Exit statuses beside those of the result classes.
+// Exit statuses for errors that have no result code.
 const (
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// exitClass is how result codes map to exit statuses: 2xxx ends with 12, 3xxx with 13 and so on.
+// An error with a result code has the exit status 10 plus the class of the code: 12 for codes 2xxx, 13 for codes 3xxx and so on.
 const (
 	exitClassBase = 10
 	codesPerClass = 1000
@@ -32,13 +32,13 @@
 // Tool runs bellgap and returns its exit status.
 func Tool(args []string, out, errOut io.Writer) int {
 	cmd := &cli.Command{
-		Name: "bellgap", Usage: "declare resources and watch the fleet", Writer: out, ErrWriter: errOut, EnableShellCompletion: true,
+		Name: "bellgap", Usage: "manage resources and inspect the fleet", Writer: out, ErrWriter: errOut, EnableShellCompletion: true,
 		Flags: []cli.Flag{
 			&cli.StringFlag{
-				Name: "box", Aliases: []string{"b"}, Usage: "talk to the operator address `ADDRESS` of a box",
+				Name: "box", Aliases: []string{"b"}, Usage: "connect to the operator address `ADDRESS` of a box",
 				Sources: cli.EnvVars("BELLGAP_BOX"),
 			},
-			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: formatTable, Usage: "print as `FORMAT`: table or json"},
+			&cli.StringFlag{Name: "output", Aliases: []string{"o"}, Value: formatTable, Usage: "output `FORMAT`: table or json"},
 		},
 		Commands: []*cli.Command{applyCommand(), getCommand(), deleteCommand(), watchCommand(), statusCommand(), explainCommand(), quarantineCommand(), codesCommand(), askCommand()},
 	}
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -10,48 +10,48 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// maxExplained bounds the requests in one explanation.
-const maxExplained = 20
+// maxExplainedRequests limits the number of requests in one explanation.
+const maxExplainedRequests = 20
 
-// Candidate is an engine that requests for an adapter version are offered to.
+// Candidate is an engine that the box may choose for requests for an adapter version.
 type Candidate struct {
 	Engine string `json:"engine"`
 	Owner  string `json:"owner"`
 	Zone   string `json:"zone"`
 }
 
-// Explanation is what GET /explain answers.
+// Explanation is the response body of GET /explain.
 type Explanation struct {
-	// Candidates lists the engines for an adapter version in the order in which they are tried; empty for a request.
+	// Candidates lists the engines for an adapter version in order of preference. It is empty if a request ID was given.
 	Candidates []Candidate `json:"candidates,omitempty"`
-	// Requests lists recent requests through this box, newest first.
+	// Requests lists the recent requests that this box handled, newest first.
 	Requests []record.Request `json:"requests"`
 }
 
-// handleExplain serves GET /explain?of=REQUEST or ADAPTER@VERSION.
+// handleExplain serves GET /explain?of=SUBJECT. The subject is a request ID or an adapter version as ADAPTER@VERSION.
 func (o *Operator) handleExplain(w http.ResponseWriter, r *http.Request) {
-	of := r.FormValue("of")
-	e := Explanation{Candidates: o.candidates(of), Requests: o.cfg.Record.Find(of, maxExplained)}
+	subject := r.FormValue("of")
+	e := Explanation{Candidates: o.listCandidates(subject), Requests: o.cfg.Record.Find(subject, maxExplainedRequests)}
 	if len(e.Candidates)+len(e.Requests) == 0 {
-		o.fail(w, result.New(result.NoSuchResource, "no recent request or adapter version %q on this box", of))
+		o.writeError(w, result.New(result.NoSuchResource, "no recent request or adapter version %q on this box", subject))
 		return
 	}
 	httpx.WriteJSON(w, http.StatusOK, e)
 }
 
-func (o *Operator) candidates(of string) []Candidate {
-	ref, err := resource.ParseRef(of)
+func (o *Operator) listCandidates(version string) []Candidate {
+	ref, err := resource.ParseRef(version)
 	if err != nil {
 		return nil
 	}
-	a, ok := o.cfg.Catalog.Adapter(ref.Adapter)
+	adapter, ok := o.cfg.Catalog.Adapter(ref.Adapter)
 	if !ok {
 		return nil
 	}
-	t := o.cfg.Catalog.Topology()
+	topology := o.cfg.Catalog.Topology()
 	var list []Candidate
-	for _, name := range placement.Top(of, t.ByModel[a.BaseModel], t.MaxEngines(a.BaseModel)) {
-		e := t.Engines[name]
+	for _, name := range placement.Top(version, topology.ByModel[adapter.BaseModel], topology.MaxEngines(adapter.BaseModel)) {
+		e := topology.Engines[name]
 		list = append(list, Candidate{Engine: name, Owner: e.Owner.Box, Zone: e.Spec.Zone})
 	}
 	return list
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator serves operators on an address of its own: resources, status, metrics, health and profiles.
+// Package operator serves the HTTP API for operators, on its own listen address: resources, status, metrics, health checks and profiles.
 package operator
 
 import (
@@ -29,34 +29,34 @@
 	API     objects.API
 	Catalog *catalog.Catalog
 	Metrics http.Handler
-	// Ready reports whether this box can serve callers.
+	// Ready reports whether this box is ready to serve callers.
 	Ready func() bool
-	// Membership, Engines and InFlight are shown in the status.
+	// Membership, Engines and InFlight return values for the status response.
 	Membership func() member.Status
 	Engines    func() []owner.Status
 	InFlight   func() int
-	// Record answers why recent requests went as they did.
+	// Record holds the recent requests, which GET /explain returns.
 	Record *record.Log
-	// Quarantine knows the requests under which endpoints have ended.
+	// Quarantine holds the requests that endpoints crashed while running.
 	Quarantine Quarantine
-	// Limits returns the endpoints that name how many requests a second they take.
+	// Limits returns the rate limits that endpoints have reported, in requests per second.
 	Limits func(now time.Time) []ratelimit.Limit
-	// Notices is what else endpoints have said of themselves.
+	// Notices holds the other reports of endpoints: that they are leaving, or that they need a pause.
 	Notices *notice.Board
-	// Restored returns what is known of the store's last restore; nil on boxes that follow no kinds of their own.
+	// Restored returns details of the store's last restore from an older copy. It is nil on boxes that do not use package follow.
 	Restored func() follow.Restored
 	Scope    tally.Scope
 }
 
-// Quarantine is what operators see of requests that end endpoints, and let pass again.
+// Quarantine lists the requests that endpoints crashed while running and allows an operator to release them.
 type Quarantine interface {
-	// Cases returns the requests under which endpoints have ended, those under which most did first.
+	// Cases returns the requests that endpoints crashed while running, sorted by the number of crashes in descending order.
 	Cases() []quarantine.Case
-	// Release lets a request pass on all boxes. It reports whether the request was known.
+	// Release allows the requests with a fingerprint again on all boxes. It reports whether the fingerprint was known.
 	Release(ctx context.Context, f quarantine.Fingerprint) bool
 }
 
-// Operator is the operators' part of a box.
+// Operator serves the operator API of a box.
 type Operator struct {
 	cfg Config
 }
@@ -64,7 +64,7 @@
 // New returns an Operator.
 func New(cfg Config) *Operator { return &Operator{cfg: cfg} }
 
-// Status is what GET /status answers.
+// Status is the response body of GET /status.
 type Status struct {
 	Box      string           `json:"box"`
 	Ready    bool             `json:"ready"`
@@ -72,18 +72,18 @@
 	InFlight int              `json:"in_flight"`
 	Member   member.Status    `json:"member"`
 	Engines  []owner.Status   `json:"engines"`
-	// Skipped counts objects that this box could not read.
-	Skipped int `json:"skipped"`
-	// Limits lists the endpoints that name how many requests a second they take, as this box knows.
-	Limits []ratelimit.Limit `json:"limits,omitempty"`
-	// Left lists the endpoints that have said they leave, Rests those that have asked this box for rest.
-	Left  []notice.Left    `json:"left,omitempty"`
-	Rests []notice.Resting `json:"rests,omitempty"`
-	// Restored tells of the last time that the store came back from an older copy, if it has.
-	Restored *follow.Restored `json:"restored,omitempty"`
+	// SkippedObjects is the number of stored objects that this box could not decode.
+	SkippedObjects int `json:"skipped"`
+	// RateLimits lists the endpoints that report a rate limit, as far as this box has received the reports.
+	RateLimits []ratelimit.Limit `json:"limits,omitempty"`
+	// LeavingEndpoints lists the endpoints that reported that they are leaving. PausedEndpoints lists those that requested a pause from this box.
+	LeavingEndpoints []notice.Left    `json:"left,omitempty"`
+	PausedEndpoints  []notice.Resting `json:"rests,omitempty"`
+	// LastRestore describes the last restore of the store from an older copy; nil if this box has seen none.
+	LastRestore *follow.Restored `json:"restored,omitempty"`
 }
 
-// Handler serves operators.
+// Handler returns the HTTP handler of the operator API.
 func (o *Operator) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", o.cfg.Metrics)
@@ -117,12 +117,12 @@
 func (o *Operator) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	httpx.WriteJSON(w, http.StatusOK, Status{
 		Box: o.cfg.Box, Ready: o.cfg.Ready(), Revision: o.cfg.Catalog.Revision(), InFlight: o.cfg.InFlight(),
-		Member: o.cfg.Membership(), Engines: o.cfg.Engines(), Skipped: o.cfg.Catalog.Skipped(),
-		Limits: o.cfg.Limits(clock.Now()), Left: o.cfg.Notices.Left(clock.Now()), Rests: o.cfg.Notices.Rests(clock.Now()), Restored: o.restored(),
+		Member: o.cfg.Membership(), Engines: o.cfg.Engines(), SkippedObjects: o.cfg.Catalog.Skipped(),
+		RateLimits: o.cfg.Limits(clock.Now()), LeavingEndpoints: o.cfg.Notices.Left(clock.Now()), PausedEndpoints: o.cfg.Notices.Rests(clock.Now()), LastRestore: o.lastRestore(),
 	})
 }
 
-func (o *Operator) restored() *follow.Restored {
+func (o *Operator) lastRestore() *follow.Restored {
 	if o.cfg.Restored == nil {
 		return nil
 	}
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// handleBoxes shows the zone maps as this box knows them.
+// handleBoxes serves GET /boxes: the boxes, engines and endpoints as this box currently sees them.
 func (o *Operator) handleBoxes(w http.ResponseWriter, _ *http.Request) {
 	httpx.WriteJSON(w, http.StatusOK, o.cfg.Catalog.Topology())
 }
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -13,15 +13,15 @@
 	httpx.WriteJSON(w, http.StatusOK, o.cfg.Quarantine.Cases())
 }
 
-// handleRelease serves DELETE /quarantine/FINGERPRINT: the request passes again, on all boxes.
+// handleRelease serves DELETE /quarantine/FINGERPRINT. All boxes then accept requests with that fingerprint again.
 func (o *Operator) handleRelease(w http.ResponseWriter, r *http.Request) {
 	var f quarantine.Fingerprint
 	if err := f.UnmarshalText([]byte(r.PathValue("fingerprint"))); err != nil {
-		o.fail(w, result.New(result.BadRequest, "%v", err))
+		o.writeError(w, result.New(result.BadRequest, "%v", err))
 		return
 	}
 	if !o.cfg.Quarantine.Release(r.Context(), f) {
-		o.fail(w, result.New(result.NoSuchResource, "no endpoint has ended under requests with fingerprint %s", f))
+		o.writeError(w, result.New(result.NoSuchResource, "no endpoint has crashed while it ran a request with fingerprint %s", f))
 		return
 	}
 	httpx.WriteJSON(w, http.StatusOK, struct{}{})
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -15,10 +15,10 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Outcome says what a write did.
+// Outcome is the effect of a write.
 type Outcome string
 
-// The outcomes of a write.
+// These are the outcomes of a write.
 const (
 	Created   Outcome = "created"
 	Changed   Outcome = "changed"
@@ -26,17 +26,17 @@
 	Deleted   Outcome = "deleted"
 )
 
-// Written is the answer to a write.
-type Written struct {
+// WriteResult is the response body of a write.
+type WriteResult struct {
 	Outcome Outcome `json:"outcome"`
-	// Version is the position of the write; it is in force where the status shows at least this revision.
+	// Version is the store position of the write. The write is in force on every box whose status shows this revision or a later one.
 	Version objects.Position `json:"version"`
 }
 
 func (o *Operator) handleList(w http.ResponseWriter, r *http.Request) {
 	kind, err := resource.ParseKind(r.PathValue("kind"))
 	if err != nil {
-		o.fail(w, result.New(result.NoSuchResource, "%v", err))
+		o.writeError(w, result.New(result.NoSuchResource, "%v", err))
 		return
 	}
 	items := o.cfg.Catalog.Resources(kind, r.FormValue("prefix"))
@@ -49,20 +49,20 @@
 func (o *Operator) handleGet(w http.ResponseWriter, r *http.Request) {
 	kind, err := resource.ParseKind(r.PathValue("kind"))
 	if err != nil {
-		o.fail(w, result.New(result.NoSuchResource, "%v", err))
+		o.writeError(w, result.New(result.NoSuchResource, "%v", err))
 		return
 	}
 	name := r.PathValue("name")
 	it, ok := o.cfg.Catalog.Resource(kind, name)
 	if !ok {
-		o.fail(w, result.New(result.NoSuchResource, "%s %s", kind, name))
+		o.writeError(w, result.New(result.NoSuchResource, "%s %s", kind, name))
 		return
 	}
 	httpx.WriteJSON(w, http.StatusOK, it)
 }
 
-// handlePut creates or changes a resource. With ?expect=VERSION it does so only if that is the present version (0: there is none);
-// without, it is applied to whatever is there. With ?dry_run=true nothing is written.
+// handlePut creates or changes a resource. With ?expect=VERSION it writes only if the resource has this version; 0 means that the
+// resource does not exist yet. Without expect it overwrites any version. With ?dry_run=true it writes nothing.
 func (o *Operator) handlePut(w http.ResponseWriter, r *http.Request) {
 	var res resource.Resource
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, objects.MaxValue)).Decode(&res)
@@ -70,126 +70,126 @@
 		err = res.Check()
 	}
 	if err != nil {
-		o.fail(w, result.New(result.InvalidResource, "%v", err))
+		o.writeError(w, result.New(result.InvalidResource, "%v", err))
 		return
 	}
-	if kind, kerr := resource.ParseKind(r.PathValue("kind")); kerr != nil || kind != res.Kind || r.PathValue("name") != res.Name {
-		o.fail(w, result.New(result.InvalidResource, "the path names %s/%s, the body %s/%s", kind, r.PathValue("name"), res.Kind, res.Name))
+	if kind, kindErr := resource.ParseKind(r.PathValue("kind")); kindErr != nil || kind != res.Kind || r.PathValue("name") != res.Name {
+		o.writeError(w, result.New(result.InvalidResource, "path has %s/%s, but body has %s/%s", kind, r.PathValue("name"), res.Kind, res.Name))
 		return
 	}
-	expect, rerr := expected(r)
+	expect, rerr := parseExpect(r)
 	if rerr != nil {
-		o.fail(w, rerr)
+		o.writeError(w, rerr)
 		return
 	}
-	done, rerr := o.put(r.Context(), res, expect, r.FormValue("dry_run") == "true")
+	written, rerr := o.putResource(r.Context(), res, expect, r.FormValue("dry_run") == "true")
 	if rerr != nil {
-		o.fail(w, rerr)
+		o.writeError(w, rerr)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, done)
+	httpx.WriteJSON(w, http.StatusOK, written)
 }
 
-// anyVersion is the expectation of a write that takes whatever is there.
+// anyVersion is the expected version of a write that overwrites any version.
 const anyVersion = -1
 
-func expected(r *http.Request) (objects.Position, *result.Error) {
+func parseExpect(r *http.Request) (objects.Position, *result.Error) {
 	text := r.FormValue("expect")
 	if text == "" {
 		return anyVersion, nil
 	}
 	v, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || v < 0 {
-		return 0, result.New(result.BadRequest, "expect %q is not a version", text)
+		return 0, result.New(result.BadRequest, "parameter expect: %q is not a version", text)
 	}
 	return objects.Position(v), nil
 }
 
-// isExpected reports whether an object is as a write expects it to be.
-func isExpected(expect objects.Position, have objects.Object) bool {
-	return expect == anyVersion || expect == have.Version || expect == 0 && !have.Version.Exists()
+// matchesExpect reports whether the current object has the version that a write expects.
+func matchesExpect(expect objects.Position, current objects.Object) bool {
+	return expect == anyVersion || expect == current.Version || expect == 0 && !current.Version.Exists()
 }
 
-func (o *Operator) put(ctx context.Context, res resource.Resource, expect objects.Position, dryRun bool) (Written, *result.Error) {
-	have, err := o.cfg.API.Get(ctx, string(res.Kind), res.Name)
+func (o *Operator) putResource(ctx context.Context, res resource.Resource, expect objects.Position, dryRun bool) (WriteResult, *result.Error) {
+	current, err := o.cfg.API.Get(ctx, string(res.Kind), res.Name)
 	if err != nil && !errors.Is(err, objects.ErrNotFound) {
-		return Written{}, platformError(err)
+		return WriteResult{}, toResultError(err)
 	}
-	if !isExpected(expect, have) {
-		return Written{}, result.New(result.Conflict, "version is %s, not %s", have.Version, expect)
+	if !matchesExpect(expect, current) {
+		return WriteResult{}, result.New(result.Conflict, "current version is %s, expected %s", current.Version, expect)
 	}
-	generation := max(catalog.GenerationOf(have), o.cfg.Catalog.Generation(string(res.Kind), res.Name))
+	generation := max(catalog.GenerationOf(current), o.cfg.Catalog.Generation(string(res.Kind), res.Name))
 	res.Generation = generation
-	if same, err := json.Marshal(res); err == nil && bytes.Equal(have.Value, same) {
-		return Written{Unchanged, have.Version}, nil
+	if unchanged, err := json.Marshal(res); err == nil && bytes.Equal(current.Value, unchanged) {
+		return WriteResult{Unchanged, current.Version}, nil
 	}
 	res.Generation = generation + 1
 	value, err := json.Marshal(res)
 	if err != nil {
-		return Written{}, result.New(result.InvalidResource, "%v", err)
+		return WriteResult{}, result.New(result.InvalidResource, "%v", err)
 	}
 	outcome := Changed
-	if !have.Version.Exists() {
+	if !current.Version.Exists() {
 		outcome = Created
 	}
 	if dryRun {
-		return Written{outcome, have.Version}, nil
+		return WriteResult{outcome, current.Version}, nil
 	}
-	version, err := o.cfg.API.Put(ctx, string(res.Kind), res.Name, have.Version, value)
+	version, err := o.cfg.API.Put(ctx, string(res.Kind), res.Name, current.Version, value)
 	if errors.Is(err, objects.ErrAnswerLost) {
-		version, err = o.settle(ctx, res, have.Version, value)
+		version, err = o.confirmPut(ctx, res, current.Version, value)
 	}
 	if err != nil {
-		return Written{}, platformError(err)
+		return WriteResult{}, toResultError(err)
 	}
-	return Written{outcome, version}, nil
+	return WriteResult{outcome, version}, nil
 }
 
-// settle reads back after a lost answer. Only a value that is ours and newer shows that the write took effect;
-// an unchanged version shows that it has not yet, which it still may.
-func (o *Operator) settle(ctx context.Context, res resource.Resource, before objects.Position, value []byte) (objects.Position, error) {
-	now, err := o.cfg.API.Get(ctx, string(res.Kind), res.Name)
-	if err != nil || now.Version == before {
+// confirmPut reads the object again after the response to a write was lost. The write is confirmed only if the version has changed and
+// the value is the one written. If the version has not changed, the write may still take effect later, so its outcome is unknown.
+func (o *Operator) confirmPut(ctx context.Context, res resource.Resource, before objects.Position, value []byte) (objects.Position, error) {
+	current, err := o.cfg.API.Get(ctx, string(res.Kind), res.Name)
+	if err != nil || current.Version == before {
 		return 0, objects.ErrAnswerLost
 	}
-	if !bytes.Equal(now.Value, value) {
+	if !bytes.Equal(current.Value, value) {
 		return 0, objects.ErrConflict
 	}
-	return now.Version, nil
+	return current.Version, nil
 }
 
 func (o *Operator) handleDelete(w http.ResponseWriter, r *http.Request) {
 	kind, err := resource.ParseKind(r.PathValue("kind"))
 	if err != nil {
-		o.fail(w, result.New(result.NoSuchResource, "%v", err))
+		o.writeError(w, result.New(result.NoSuchResource, "%v", err))
 		return
 	}
-	expect, rerr := expected(r)
+	expect, rerr := parseExpect(r)
 	if rerr != nil {
-		o.fail(w, rerr)
+		o.writeError(w, rerr)
 		return
 	}
-	have, err := o.cfg.API.Get(r.Context(), string(kind), r.PathValue("name"))
+	current, err := o.cfg.API.Get(r.Context(), string(kind), r.PathValue("name"))
 	if err != nil {
-		o.fail(w, platformError(err))
+		o.writeError(w, toResultError(err))
 		return
 	}
-	if !isExpected(expect, have) {
-		o.fail(w, result.New(result.Conflict, "version is %s, not %s", have.Version, expect))
+	if !matchesExpect(expect, current) {
+		o.writeError(w, result.New(result.Conflict, "current version is %s, expected %s", current.Version, expect))
 		return
 	}
-	if err := o.cfg.API.Delete(r.Context(), string(kind), have.Name, have.Version); err != nil {
-		o.fail(w, platformError(err))
+	if err := o.cfg.API.Delete(r.Context(), string(kind), current.Name, current.Version); err != nil {
+		o.writeError(w, toResultError(err))
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, Written{Deleted, have.Version})
+	httpx.WriteJSON(w, http.StatusOK, WriteResult{Deleted, current.Version})
 }
 
-// handleWatch streams the changes of a kind, one JSON item a line, starting with all there is.
+// handleWatch streams the resources of a kind as JSON, one item per line: first all present ones, then each change.
 func (o *Operator) handleWatch(w http.ResponseWriter, r *http.Request) {
 	kind, err := resource.ParseKind(r.FormValue("kind"))
 	if err != nil {
-		o.fail(w, result.New(result.NoSuchResource, "%v", err))
+		o.writeError(w, result.New(result.NoSuchResource, "%v", err))
 		return
 	}
 	enc := json.NewEncoder(w)
@@ -197,7 +197,7 @@
 	seen := map[string]objects.Position{}
 	for {
 		changed := o.cfg.Catalog.Changed()
-		if writeNewer(enc, o.cfg.Catalog.Resources(kind, r.FormValue("prefix")), seen) != nil || rc.Flush() != nil {
+		if writeChangedItems(enc, o.cfg.Catalog.Resources(kind, r.FormValue("prefix")), seen) != nil || rc.Flush() != nil {
 			return
 		}
 		select {
@@ -208,7 +208,7 @@
 	}
 }
 
-func writeNewer(enc *json.Encoder, items []catalog.Item, seen map[string]objects.Position) error {
+func writeChangedItems(enc *json.Encoder, items []catalog.Item, seen map[string]objects.Position) error {
 	for _, it := range items {
 		if seen[it.Resource.Name] == it.Version {
 			continue
@@ -221,20 +221,20 @@
 	return nil
 }
 
-func platformError(err error) *result.Error {
+func toResultError(err error) *result.Error {
 	switch {
 	case errors.Is(err, objects.ErrConflict):
-		return result.New(result.Conflict, "somebody else wrote at the same time")
+		return result.New(result.Conflict, "the resource was changed by a concurrent write")
 	case errors.Is(err, objects.ErrNotFound):
 		return result.New(result.NoSuchResource, "")
 	case errors.Is(err, objects.ErrAnswerLost):
-		return result.New(result.AnswerUnknown, "read the resource to see whether it took effect")
+		return result.New(result.AnswerUnknown, "no response to the write; read the resource to check whether it took effect")
 	default:
 		return result.New(result.PlatformUnavailable, "%v", err)
 	}
 }
 
-func (o *Operator) fail(w http.ResponseWriter, rerr *result.Error) {
+func (o *Operator) writeError(w http.ResponseWriter, rerr *result.Error) {
 	o.cfg.Scope.Tagged(map[string]string{"result": rerr.Code.String()}).Counter("operator_refusals").Inc(1)
 	rerr.Write(w, "")
 }
