--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,4 +1,4 @@
-// Package policy names the mechanisms of the decisions that can be switched off, one by one, to measure what each is worth.
+// Package policy lists the mechanisms of request scheduling. Each can be switched off on its own to measure its effect.
 package policy
 
 import (
@@ -8,44 +8,46 @@
 	"github.com/rotisserie/eris"
 )
 
-// Mechanism is a part of the decisions.
+// Mechanism is the name of a part of the scheduling policy that can be switched off.
 type Mechanism string
 
-// The mechanisms.
+// These are the mechanisms, each with its effect while it is on.
 const (
-	// Copies loads one more copy of an adapter only where it serves in time and no engine that has it near does.
+	// Copies loads another copy of an adapter only if it can serve the request in time and none of the engines that have the adapter
+	// loaded, are loading it or had it loaded recently can do so.
 	Copies Mechanism = "copies"
-	// Crowds asks more engines, and those that hold the adapter first, while all that have it near are busy.
+	// Crowds asks more engines for a grant while all engines that have the adapter loaded, are loading it or had it loaded recently are
+	// busy. Engines that have it loaded are asked first.
 	Crowds Mechanism = "crowds"
-	// Order gives each place in the order of engines a weight.
+	// Order adds a cost for each position of an engine in the order of preference, so that earlier engines are chosen.
 	Order Mechanism = "order"
-	// Admission refuses at once what is not expected to start in its time.
+	// Admission refuses a request at once if it is not expected to start in time.
 	Admission Mechanism = "admission"
-	// Prefixes counts the parts of prompts that an engine has read as read.
+	// Prefixes expects an engine to skip the parts of a prompt that it has already processed for earlier requests.
 	Prefixes Mechanism = "prefixes"
-	// ReadRate observes how fast an engine reads prompts.
+	// ReadRate measures the rate at which an engine processes prompts, instead of using a constant.
 	ReadRate Mechanism = "read_rate"
-	// LoadTime observes how long an engine's loads take.
+	// LoadTime measures how long an engine takes to load adapters, instead of using a constant.
 	LoadTime Mechanism = "load_time"
-	// SlotWait counts the adapter slots in use in the expected wait.
+	// SlotWait includes the wait for a free adapter slot in the expected waiting time.
 	SlotWait Mechanism = "slot_wait"
-	// AtHand takes adapters that an engine held lately as quick to load.
+	// AtHand expects an engine to load an adapter faster if it had it loaded recently.
 	AtHand Mechanism = "at_hand"
-	// UseRate unloads the adapter with the least decayed use; without it the one used longest ago.
+	// UseRate unloads the adapter with the lowest time-decayed use rate. Without it, the least recently used adapter is unloaded.
 	UseRate Mechanism = "use_rate"
-	// Health asks endpoints at which requests failed lately last.
+	// Health tries endpoints with recent failures last.
 	Health Mechanism = "health"
-	// NearZone asks engines of the box's own zone first where any order does.
+	// NearZone prefers engines in the zone of the box where the order is otherwise arbitrary.
 	NearZone Mechanism = "near_zone"
-	// Ownerless sends requests for held adapters without a grant while no owner can be asked.
+	// Ownerless sends a request without a grant to an engine that has the adapter loaded, if no owner can be reached.
 	Ownerless Mechanism = "ownerless"
-	// Stalls leaves an engine whose stream has fallen silent.
+	// Stalls aborts a response stream that has stopped sending data, so that the request can continue on another engine.
 	Stalls Mechanism = "stalls"
-	// Places sends a plain request only where one of all boxes' count leaves room for it.
+	// Places limits the concurrent requests of all boxes at each endpoint of a plain service. One box counts them for each endpoint.
 	Places Mechanism = "places"
-	// BaseOnDemand brings base models from the weight store only to engines that requests need.
+	// BaseOnDemand loads a base model from the weight store only on engines that are needed for requests.
 	BaseOnDemand Mechanism = "base_on_demand"
-	// Quarantine holds requests under which endpoints ended.
+	// Quarantine refuses a request after the configured number of endpoints have crashed while they ran it.
 	Quarantine Mechanism = "quarantine"
 )
 
@@ -56,22 +58,22 @@
 	}
 }
 
-// Policy says which mechanisms are off. The zero Policy has all on.
+// Policy records which mechanisms are switched off. The zero value has all mechanisms on.
 type Policy struct {
 	off []Mechanism
 }
 
-// New returns the Policy without some mechanisms.
+// New returns a Policy with the given mechanisms switched off. It fails if a mechanism is unknown.
 func New(off []Mechanism) (Policy, error) {
 	for _, m := range off {
 		if !slices.Contains(Mechanisms(), m) {
-			return Policy{}, eris.Errorf("policy: %q is none of %s", m, Names())
+			return Policy{}, eris.Errorf("policy: unknown mechanism %q; known mechanisms: %s", m, Names())
 		}
 	}
 	return Policy{off: off}, nil
 }
 
-// Names returns the names of all mechanisms, for a message.
+// Names returns the names of all mechanisms as a comma-separated list for messages.
 func Names() string {
 	var names []string
 	for _, m := range Mechanisms() {
@@ -80,5 +82,5 @@
 	return strings.Join(names, ", ")
 }
 
-// On reports whether a mechanism is on.
+// On reports whether a mechanism is switched on.
 func (p Policy) On(m Mechanism) bool { return !slices.Contains(p.off, m) }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -8,7 +8,7 @@
 	"github.com/bellgap/bellgap/internal/policy"
 )
 
-func TestPolicy(t *testing.T) {
+func TestNewSwitchesMechanismsOff(t *testing.T) {
 	c := qt.New(t)
 	p, err := policy.New([]policy.Mechanism{policy.Crowds})
 	c.Assert(err, qt.IsNil)
@@ -17,5 +17,5 @@
 		c.Check(policy.Policy{}.On(m), qt.IsTrue)
 	}
 	_, err = policy.New([]policy.Mechanism{"crowd"})
-	c.Check(err, qt.ErrorMatches, `policy: "crowd" is none of copies, .*`)
+	c.Check(err, qt.ErrorMatches, `policy: unknown mechanism "crowd"; known mechanisms: copies, .*`)
 }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,4 +1,4 @@
-// Package route finds the route of a request in the routing configuration.
+// Package route looks up the route of a request in the routing configuration.
 package route
 
 import (
@@ -12,29 +12,29 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Table answers look-ups in one version of the routing configuration. It is never changed.
+// Table is an immutable index of one version of the routing configuration.
 type Table struct {
-	version  int64
-	byHost   map[string][]*resource.Route
-	services map[string]*resource.RouteService
-	limits   resource.CallerLimits
-	// keyed and customers are those of the configuration.
+	version      int64
+	routesByHost map[string][]*resource.Route
+	services     map[string]*resource.RouteService
+	limits       resource.CallerLimits
+	// keyed reports whether requests need the API key of a customer; open routes need none.
 	keyed     bool
 	customers *customer.Table
 }
 
-// New returns the Table of a configuration.
+// New builds the Table of a routing configuration.
 func New(r *resource.Routing) *Table {
 	t := &Table{
-		version: r.Version, byHost: map[string][]*resource.Route{}, services: map[string]*resource.RouteService{}, limits: r.Limits,
+		version: r.Version, routesByHost: map[string][]*resource.Route{}, services: map[string]*resource.RouteService{}, limits: r.Limits,
 		keyed: r.Keyed, customers: customer.NewTable(r.Customers),
 	}
 	for i := range r.Routes {
 		rt := &r.Routes[i]
 		host := strings.ToLower(rt.Host)
-		t.byHost[host] = append(t.byHost[host], rt)
+		t.routesByHost[host] = append(t.routesByHost[host], rt)
 	}
-	for _, routes := range t.byHost {
+	for _, routes := range t.routesByHost {
 		slices.SortFunc(routes, func(a, b *resource.Route) int {
 			return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(a.Prefix, b.Prefix))
 		})
@@ -45,19 +45,19 @@
 	return t
 }
 
-// Version returns the operator's number of the configuration.
+// Version returns the version number that the operator gave the configuration.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns what callers may send.
+// Limits returns the limits for the requests and connections of callers.
 func (t *Table) Limits() resource.CallerLimits { return t.limits }
 
-// Keyed reports whether requests carry the key of a customer, but for those on open routes.
+// Keyed reports whether requests must carry the API key of a customer. Open routes need no key.
 func (t *Table) Keyed() bool { return t.keyed }
 
 // Customers returns the customers of the configuration.
 func (t *Table) Customers() *customer.Table { return t.customers }
 
-// Service returns a service of the configuration.
+// Service returns the service with a name, if the configuration has one.
 func (t *Table) Service(name string) (*resource.RouteService, bool) {
 	s, ok := t.services[name]
 	return s, ok
@@ -66,9 +66,9 @@
 // Services returns all services by name.
 func (t *Table) Services() map[string]*resource.RouteService { return t.services }
 
-// Lookup returns the route of the host with the longest prefix that begins the path.
+// Lookup returns the route for a host and path. If several prefixes match the path, the longest wins.
 func (t *Table) Lookup(host, path string) (*resource.Route, bool) {
-	for _, r := range t.byHost[hostName(host)] {
+	for _, r := range t.routesByHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r, true
 		}
@@ -76,15 +76,16 @@
 	return nil, false
 }
 
-// hostName returns the host of a Host header, without a port and in lower case.
-func hostName(host string) string {
+// normalizeHost returns the value of a Host header in lower case and without the port.
+func normalizeHost(host string) string {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Pick returns the service for a request: the same id always goes to the same one, and shares follow the weights.
+// Pick returns the target service for a request ID. The choice is deterministic: the same ID always gets the same service. Over many
+// IDs, each service gets a share in proportion to its weight.
 func Pick(r *resource.Route, id string) string {
 	total := 0
 	for _, t := range r.Targets {
@@ -93,12 +94,12 @@
 	if total == 0 {
 		return r.Targets[0].Service
 	}
-	at := int(xxhash.Sum64String(id) % uint64(total))
+	remaining := int(xxhash.Sum64String(id) % uint64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if remaining < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		remaining -= t.Weight
 	}
 	return r.Targets[len(r.Targets)-1].Service
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -10,13 +10,13 @@
 	"github.com/bellgap/bellgap/internal/route"
 )
 
-func table() *route.Table {
-	to := func(s string) []resource.Target { return []resource.Target{{Service: s, Weight: 1}} }
+func newTable() *route.Table {
+	targetsOf := func(s string) []resource.Target { return []resource.Target{{Service: s, Weight: 1}} }
 	return route.New(&resource.Routing{Version: 3, Routes: []resource.Route{
-		{Name: "all", Host: "a.example", Prefix: "/", Targets: to("s1")},
-		{Name: "deep", Host: "a.example", Prefix: "/x/y/", Targets: to("s2")},
-		{Name: "x", Host: "a.example", Prefix: "/x/", Targets: to("s3")},
-		{Name: "other", Host: "b.example", Prefix: "/x/", Targets: to("s4")},
+		{Name: "all", Host: "a.example", Prefix: "/", Targets: targetsOf("s1")},
+		{Name: "deep", Host: "a.example", Prefix: "/x/y/", Targets: targetsOf("s2")},
+		{Name: "x", Host: "a.example", Prefix: "/x/", Targets: targetsOf("s3")},
+		{Name: "other", Host: "b.example", Prefix: "/x/", Targets: targetsOf("s4")},
 	}})
 }
 
@@ -32,7 +32,7 @@
 	} {
 		t.Run(tt.host+tt.path, func(t *testing.T) {
 			c := qt.New(t)
-			r, ok := table().Lookup(tt.host, tt.path)
+			r, ok := newTable().Lookup(tt.host, tt.path)
 			c.Assert(ok, qt.Equals, tt.want != "")
 			if ok {
 				c.Check(r.Name, qt.Equals, tt.want)
