--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -13,77 +13,77 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Bounds of an answer.
+// Limits on an answer and markers in its event stream.
 const (
-	maxAnswer  = 16 << 20
-	maxEvent   = 1 << 20
-	dataPrefix = "data: "
-	doneEvent  = "[DONE]"
+	maxAnswerBytes = 16 << 20
+	maxEventBytes  = 1 << 20
+	dataPrefix     = "data: "
+	doneEvent      = "[DONE]"
 )
 
-// Answer is the engine's answer to one call. Every part of it is checked before it is returned.
+// Answer is an engine's answer to one call. Its model name and run ID are verified, in a stream for each event with data.
 type Answer struct {
-	// Stream says that the answer comes as server-sent events.
-	Stream bool
-	resp   *http.Response
-	lines  *bufio.Reader
-	model  string
-	runID  string
-	whole  bool
+	// Stream is set if the answer is a stream of server-sent events.
+	Stream   bool
+	resp     *http.Response
+	reader   *bufio.Reader
+	model    string
+	runID    string
+	complete bool
 }
 
-// identity is the part of every answer that says what it belongs to.
-type identity struct {
+// answerIdentity holds the fields of an answer or event that identify the run and the model.
+type answerIdentity struct {
 	ID    string `json:"id"`
 	Model string `json:"model"`
 }
 
-// NewAnswer returns the answer in resp, which has to be for ref and runID.
+// NewAnswer returns the answer in resp. Reading from it fails unless the answer is for ref and runID.
 func NewAnswer(resp *http.Response, ref resource.Ref, runID string) *Answer {
 	return &Answer{
 		Stream: strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"),
-		resp:   resp, lines: bufio.NewReader(resp.Body), model: ref.String(), runID: runID,
+		resp:   resp, reader: bufio.NewReader(resp.Body), model: ref.String(), runID: runID,
 	}
 }
 
-// Close frees the connection; closing before the end cancels the engine's stream.
+// Close releases the connection. Closing before the end of the answer cancels the run at the engine.
 func (a *Answer) Close() {
-	if a.whole {
-		// What follows the end mark is read, so that the connection can be used again.
+	if a.complete {
+		// Reading the rest of the body lets the transport reuse the connection.
 		httpx.Drain(a.resp.Body)
 		return
 	}
-	// Its error changes nothing: the answer is over either way.
+	// The error is irrelevant, as the answer is discarded.
 	_ = a.resp.Body.Close()
 }
 
-// Whole returns an answer that is not a stream.
+// Whole reads and returns the complete answer. It must not be used for a stream.
 func (a *Answer) Whole() ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(a.resp.Body, maxAnswer+1))
+	b, err := io.ReadAll(io.LimitReader(a.resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, result.Cut(result.StreamCut, err)
 	}
-	if len(b) > maxAnswer {
-		return nil, result.New(result.StreamCut, "after %d bytes", len(b))
+	if len(b) > maxAnswerBytes {
+		return nil, result.New(result.StreamCut, "answer too large: read %d bytes", len(b))
 	}
-	a.whole = true
-	return b, a.check(b)
+	a.complete = true
+	return b, a.checkIdentity(b)
 }
 
-// Next returns the next event of a stream with its blank line, or io.EOF after the end mark.
-// An answer that breaks off before the end mark is a StreamCut.
+// Next returns the next event of a stream, including its terminating blank line. After the end event it returns io.EOF.
+// If the stream ends before the end event, it returns a StreamCut error.
 func (a *Answer) Next() ([]byte, error) {
-	if a.whole {
+	if a.complete {
 		return nil, io.EOF
 	}
 	var event []byte
 	for {
-		line, err := a.lines.ReadSlice('\n')
+		line, err := a.reader.ReadSlice('\n')
 		if err != nil {
 			return nil, result.Cut(result.StreamCut, err)
 		}
-		if len(event)+len(line) > maxEvent {
-			return nil, result.New(result.StreamCut, "an event of more than %d bytes", maxEvent)
+		if len(event)+len(line) > maxEventBytes {
+			return nil, result.New(result.StreamCut, "event larger than %d bytes", maxEventBytes)
 		}
 		event = append(event, line...)
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
@@ -96,20 +96,20 @@
 	}
 	data = bytes.TrimSpace(data)
 	if string(data) == doneEvent {
-		a.whole = true
+		a.complete = true
 		return event, nil
 	}
-	return event, a.check(data)
+	return event, a.checkIdentity(data)
 }
 
-// check compares what the answer says it belongs to with what was asked for.
-func (a *Answer) check(b []byte) error {
-	var id identity
+// checkIdentity returns a WrongAnswer error unless the model and the run ID in the JSON text b are those of the call.
+func (a *Answer) checkIdentity(b []byte) error {
+	var id answerIdentity
 	if err := json.Unmarshal(b, &id); err != nil {
-		return result.New(result.WrongAnswer, "not JSON: %v", err)
+		return result.New(result.WrongAnswer, "answer is not valid JSON: %v", err)
 	}
 	if id.Model != a.model || !strings.HasSuffix(id.ID, a.runID) {
-		return result.New(result.WrongAnswer, "asked %s as %s, got %s as %s", a.model, a.runID, id.Model, id.ID)
+		return result.New(result.WrongAnswer, "requested model %s with run ID %s, got model %s with ID %s", a.model, a.runID, id.Model, id.ID)
 	}
 	return nil
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -17,16 +17,16 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Limits on one call.
+// Limits on the calls of a Client.
 const (
-	orderTimeout  = 2 * time.Minute
-	reportTimeout = 2 * time.Second
-	maxSmallBody  = 1 << 20
+	orderTimeout      = 2 * time.Minute
+	reportTimeout     = 2 * time.Second
+	maxSmallBodyBytes = 1 << 20
 )
 
-// OrderRefusedError says that the engine answered an order and did not carry it out.
+// OrderRefusedError is returned if the engine responded to an order without executing it.
 type OrderRefusedError struct {
-	// Type is one of the Refusal types; RefusalStaleEpoch says that a newer owner has given orders.
+	// Type is one of the Refusal types. RefusalStaleEpoch means that the engine has received orders from a newer owner.
 	Type    string
 	Message string
 }
@@ -38,22 +38,22 @@
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
-	// HTTP sends requests and orders. Its transport repeats no POST.
+	// HTTP sends all calls. Its transport must not retry POST requests.
 	HTTP *http.Client
 }
 
-// Headers are those by which engines and services speak of themselves on bellgap's own interface.
+// Headers names the response headers in which engines and services announce their own state on bellgap's own interface.
 var Headers = notice.Headers{Rate: result.HeaderRate, Leaving: result.HeaderLeaving}
 
-// Client speaks to engines.
+// Client is an HTTP client for engines.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient returns a Client.
+// NewClient returns a Client that sends its calls with cfg.HTTP.
 func NewClient(cfg ClientConfig) *Client { return &Client{http: cfg.HTTP} }
 
-// Give sends an order and waits until it is carried out.
+// Give sends an order and waits until the engine has executed it.
 func (c *Client) Give(ctx context.Context, to Target, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
@@ -63,60 +63,61 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+to.Address.String()+"/orders", bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "engine: order")
+		return eris.Wrap(err, "engine: create order request")
 	}
 	sent := httpx.TraceSent(req)
 	resp, err := c.http.Do(sent.Request)
 	switch {
 	case err != nil && sent.Started() && ctx.Err() == nil:
-		return eris.Wrapf(ErrBrokenOff, "engine: order: %v", err)
+		return eris.Wrapf(ErrBrokenOff, "engine: send order: %v", err)
 	case err != nil:
-		return eris.Wrap(err, "engine: order")
+		return eris.Wrap(err, "engine: send order")
 	}
 	defer httpx.Drain(resp.Body)
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	r := refusal(resp.Body)
+	r := decodeRefusal(resp.Body)
 	return &OrderRefusedError{Type: r.Error.Type, Message: r.Error.Message}
 }
 
-// Report asks for the engine's report.
+// Report fetches the engine's report.
 func (c *Client) Report(ctx context.Context, from Target) (Report, error) {
 	var r Report
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.Address.String()+"/report", nil)
 	if err != nil {
-		return r, eris.Wrap(err, "engine: report")
+		return r, eris.Wrap(err, "engine: create report request")
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return r, eris.Wrap(err, "engine: report")
+		return r, eris.Wrap(err, "engine: fetch report")
 	}
 	defer httpx.Drain(resp.Body)
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxSmallBody)).Decode(&r); err != nil {
-		return r, eris.Wrap(err, "engine: report")
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxSmallBodyBytes)).Decode(&r); err != nil {
+		return r, eris.Wrap(err, "engine: decode report")
 	}
 	r.Notice = Headers.Read(resp.StatusCode, resp.Header)
 	return r, nil
 }
 
-// Call is one request to an engine.
+// Call is an inference request to an engine.
 type Call struct {
 	Address netip.AddrPort
-	// Path is the path of the OpenAI API.
+	// Path is the URL path in the OpenAI API.
 	Path string
 	Ref  resource.Ref
-	// RunID names this run; the engine's answer has to carry it.
+	// RunID identifies this run. The ID in the engine's answer must end with it.
 	RunID   string
 	Urgency string
 	Body    []byte
-	// Notice, if set, is called with what the head of an answer says of the engine.
+	// Notice, if set, is called with the state that the engine announces in the response headers.
 	Notice func(notice.Word)
 }
 
-// Run sends a call and returns the answer once its status is known. The error is a *result.Error that says whether it ran.
+// Run sends a call and returns the answer once the response headers have arrived. The error is a *result.Error, whose result code
+// shows whether the engine may have run the request.
 func (c *Client) Run(ctx context.Context, call Call) (*Answer, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+call.Address.String()+call.Path, bytes.NewReader(call.Body))
 	if err != nil {
@@ -129,20 +130,21 @@
 	sent := httpx.TraceSent(req)
 	resp, err := c.http.Do(sent.Request)
 	if err != nil {
-		return nil, callError(ctx, sent.Started(), err)
+		return nil, transportError(ctx, sent.Started(), err)
 	}
-	word := Headers.Read(resp.StatusCode, resp.Header)
+	engineNotice := Headers.Read(resp.StatusCode, resp.Header)
 	if call.Notice != nil {
-		call.Notice(word)
+		call.Notice(engineNotice)
 	}
 	if resp.StatusCode != http.StatusOK {
 		defer httpx.Drain(resp.Body)
-		return nil, statusError(resp, word)
+		return nil, statusError(resp, engineNotice)
 	}
 	return NewAnswer(resp, call.Ref, call.RunID), nil
 }
 
-func callError(ctx context.Context, started bool, err error) *result.Error {
+// transportError returns the error for a call without a response. started reports whether any part of the request may have been sent.
+func transportError(ctx context.Context, started bool, err error) *result.Error {
 	switch {
 	case !started:
 		return result.New(result.BackendUnreachable, "%v", err)
@@ -153,26 +155,28 @@
 	}
 }
 
-// statusError reads an answer other than 200: a refusal of a known type did not run, anything else may have.
-func statusError(resp *http.Response, word notice.Word) *result.Error {
-	r := refusal(resp.Body)
+// statusError returns the error for a response with a status other than 200. If its body is a refusal of a known type, the engine
+// did not run the request. Otherwise the engine may have run it.
+func statusError(resp *http.Response, engineNotice notice.Word) *result.Error {
+	r := decodeRefusal(resp.Body)
 	switch r.Error.Type {
 	case RefusalNotLoaded, RefusalNoSlot:
 		return result.New(result.BackendRefused, "%s: %s", r.Error.Type, r.Error.Message)
 	case RefusalBusy:
 		rerr := result.New(result.EndpointResting, "%s", r.Error.Message)
-		rerr.RetryAfter = word.Rest
+		rerr.RetryAfter = engineNotice.Rest
 		return rerr
 	case RefusalBadRequest:
 		return result.New(result.BadRequest, "%s", r.Error.Message)
 	default:
-		return result.New(result.AnswerLost, "the engine answered status %d", resp.StatusCode)
+		return result.New(result.AnswerLost, "engine responded with status %d", resp.StatusCode)
 	}
 }
 
-func refusal(body io.Reader) Refusal {
+// decodeRefusal decodes the body of a response with a status other than 200.
+func decodeRefusal(body io.Reader) Refusal {
 	var r Refusal
-	// A body that cannot be read leaves the type empty, which claims nothing.
-	_ = json.NewDecoder(io.LimitReader(body, maxSmallBody)).Decode(&r)
+	// An invalid body leaves the type empty, which callers treat as unknown.
+	_ = json.NewDecoder(io.LimitReader(body, maxSmallBodyBytes)).Decode(&r)
 	return r
 }
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -1,4 +1,4 @@
-// Package engine is the client of model engines: requests, orders and reports.
+// Package engine contains the client of model engines, and the messages that it exchanges with them: requests, orders and reports.
 package engine
 
 import (
@@ -9,71 +9,75 @@
 	"github.com/bellgap/bellgap/internal/notice"
 )
 
-// Action is what an order asks for.
+// Action is the change that an order requests.
 type Action string
 
-// The actions of an order.
+// Actions of an order.
 const (
 	ActionLoad   Action = "load"
 	ActionUnload Action = "unload"
-	// ActionLoadBase loads the base model named, on engines that start without one.
+	// ActionLoadBase loads the base model given in the order, on engines that start without a base model.
 	ActionLoadBase Action = "load_base"
 )
 
-// Target names the engine that a call is for.
+// Target identifies the engine that receives a call.
 type Target struct {
 	Name    string
 	Address netip.AddrPort
 }
 
-// Order asks an engine to change what it holds. Engines that check orders refuse an epoch older than the newest they have seen.
+// Order requests an engine to load or unload a model. Engines that check orders refuse an order with an epoch older than the
+// newest one that they have received.
 type Order struct {
 	Epoch   uint64 `json:"epoch"`
 	Action  Action `json:"action"`
 	Model   string `json:"model"`
 	Weights string `json:"weights,omitempty"`
-	// Allowed says whether the order may be sent now. Whoever sends an order more than once, or asks by it whether it is carried
-	// out, asks each time: the process may have stood still in between. Nil allows it.
+	// Allowed reports whether the order may be sent now. If it is nil, the order may always be sent. A sender must call it before
+	// each attempt and each poll for completion, as the process may have been suspended in between.
 	Allowed func() bool `json:"-"`
-	// Room is how many adapters the engine holds at most, zero if the sender does not say: whoever finds that orders of others came between
-	// loads nothing into an engine that they have filled.
+	// Room is the maximum number of adapters that the engine can hold, or zero if unknown. If other owners have sent orders to
+	// the engine in the meantime and filled it with adapters, an order to load an adapter is not sent.
 	Room int `json:"-"`
 }
 
 // MaySend reports whether the order may be sent now.
 func (o *Order) MaySend() bool { return o.Allowed == nil || o.Allowed() }
 
-// ErrAuthorityOver ends an order whose sender has lost the right to give it; it may have been taken before.
-var ErrAuthorityOver = errors.New("engine: the authority to give the order is over")
+// ErrAuthorityOver is returned for an order whose sender has lost the right to send it. The engine may have accepted an earlier
+// attempt.
+var ErrAuthorityOver = errors.New("engine: authority to send the order lost")
 
-// ErrBrokenOff ends an order that the engine had taken and broke off: it may have ended.
-var ErrBrokenOff = errors.New("engine: broke an order off")
+// ErrBrokenOff is returned if the connection was closed or refused after the engine may have received the order. The engine
+// process may have ended.
+var ErrBrokenOff = errors.New("engine: connection lost during an order")
 
-// Report is what an engine says of itself; it lags.
+// Report is the state that an engine reports about itself. It lags behind the actual state.
 type Report struct {
-	// Incarnation changes when the engine restarts; it then holds no adapter.
+	// Incarnation identifies one run of the engine process. It changes when the engine restarts, which removes all loaded adapters.
 	Incarnation string `json:"incarnation"`
-	// Epoch is the newest epoch seen in an order.
+	// Epoch is the newest epoch that the engine has received in an order.
 	Epoch uint64 `json:"epoch"`
-	// Loaded lists the models that are loaded.
+	// Loaded lists the loaded adapter versions.
 	Loaded []string `json:"loaded"`
-	// BaseModels lists the base models that are loaded; nil if the engine always holds its own.
+	// BaseModels lists the loaded base models. It is nil if the engine always has its own base model loaded.
 	BaseModels []string `json:"base_models,omitempty"`
-	// AtHand lists the base models of which the engine has a copy, which it needs not bring from the weight store.
+	// AtHand lists the base models of which the engine has a local copy, so that it need not fetch them from the weight store.
 	AtHand []string `json:"at_hand,omitempty"`
-	// Running and Waiting count sequences.
+	// Running and Waiting are numbers of sequences.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Steps counts engine steps and Filled the sequences in them, since the start.
+	// Steps is the number of engine steps since the start. Filled is the total number of sequences in these steps.
 	Steps  int64 `json:"steps"`
 	Filled int64 `json:"filled"`
-	// Notice is what the engine says of itself with the report, also with one that is refused; what it does not say says nothing.
+	// Notice is the state that the engine announces in the response headers, even if it refuses to send the report. An unset
+	// field means that the engine announced nothing about it.
 	Notice notice.Word `json:"-"`
-	// TakenAt is when the report was true, on the engine's clock.
+	// TakenAt is the time at which the report was correct, on the engine's clock.
 	TakenAt time.Time `json:"taken_at"`
 }
 
-// Refusal is the body of an engine's answer that says it did not run the request.
+// Refusal is the body of a response by which an engine refuses a request or an order without executing it.
 type Refusal struct {
 	Error struct {
 		Type    string `json:"type"`
@@ -86,10 +90,11 @@
 	RefusalNotLoaded  = "adapter_not_loaded"
 	RefusalStaleEpoch = "stale_epoch"
 	RefusalLoadFailed = "load_failed"
-	// RefusalNotThere says that what the order is for is not at the engine, or that the engine is another one by now.
+	// RefusalNotThere means that the engine does not have the model or adapter of the order, or that another engine now has the
+	// address.
 	RefusalNotThere = "not_there"
 	RefusalNoSlot   = "no_slot"
-	// RefusalBusy says that the engine turns requests away; the head of the answer may say for how long.
+	// RefusalBusy means that the engine currently rejects requests. The response headers may tell for how long.
 	RefusalBusy       = "busy"
 	RefusalBadRequest = "bad_request"
 )
