--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -1,4 +1,4 @@
-// Package httpx holds the settings that every HTTP client and server of the project shares.
+// Package httpx provides the HTTP clients and servers of the project with common limits and helpers.
 package httpx
 
 import (
@@ -17,27 +17,28 @@
 	"github.com/rotisserie/eris"
 )
 
-// Bounds of every listener and connection.
+// Limits of every listener and connection.
 const (
 	readHeaderTimeout = 5 * time.Second
 	idleTimeout       = 90 * time.Second
 	maxHeaderBytes    = 32 << 10
 	dialTimeout       = time.Second
-	drainLimit        = 64 << 10
-	// closeTime bounds the end of a server: what is left then is answers of a few hundred bytes, and waits that nobody ends.
-	closeTime = 100 * time.Millisecond
-	// continueTimeout lies past every deadline: the body is never sent unasked.
+	maxDrainBytes     = 64 << 10
+	// shutdownTimeout limits the graceful shutdown of a server. The only requests left by then are responses of a few hundred bytes,
+	// and waiting requests that never end by themselves.
+	shutdownTimeout = 100 * time.Millisecond
+	// continueTimeout exceeds every request deadline, so that a body is never sent before the server has requested it with 100 Continue.
 	continueTimeout = 24 * time.Hour
 )
 
-// NewServer returns a server with the bounds of every listener set.
+// NewServer returns a server with the common limits.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler: h, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 	}
 }
 
-// NewTransport returns a transport for many calls to few peers.
+// NewTransport returns a transport for many calls to a small number of hosts.
 func NewTransport(connsPerHost int) *http.Transport {
 	return &http.Transport{
 		DialContext:            (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -49,73 +50,77 @@
 	}
 }
 
-// NewOnceTransport returns a transport that uses each connection for one call, so that it has no broken reused connection to repeat a call on.
+// NewOnceTransport returns a transport that uses each connection for only one call. This prevents http.Transport from silently repeating a
+// call after a reused connection turns out to be broken.
 func NewOnceTransport() *http.Transport {
 	t := NewTransport(1)
 	t.DisableKeepAlives = true
 	return t
 }
 
-// Sent tells whether any part of a request may have reached the far side.
-type Sent struct {
+// SendTrace records whether any part of a request may have reached the server.
+type SendTrace struct {
 	Request *http.Request
-	wrote   atomic.Bool
+	started atomic.Bool
 }
 
-// TraceSent returns req with a trace of whether its writing has begun.
-func TraceSent(req *http.Request) *Sent {
-	s := &Sent{}
+// TraceSent returns a SendTrace whose Request is req with tracing. Send that Request instead of req.
+func TraceSent(req *http.Request) *SendTrace {
+	s := &SendTrace{}
 	trace := &httptrace.ClientTrace{
-		GotConn:      func(httptrace.GotConnInfo) { s.wrote.Store(true) },
-		WroteRequest: func(httptrace.WroteRequestInfo) { s.wrote.Store(true) },
+		GotConn:      func(httptrace.GotConnInfo) { s.started.Store(true) },
+		WroteRequest: func(httptrace.WroteRequestInfo) { s.started.Store(true) },
 	}
 	s.Request = req.WithContext(httptrace.WithClientTrace(req.Context(), trace))
 	return s
 }
 
-// Started reports whether a connection had been given to the request, from when on its bytes may have left.
-func (s *Sent) Started() bool { return s.wrote.Load() }
+// Started reports whether the request was assigned a connection. From then on, bytes of the request may have been sent.
+func (s *SendTrace) Started() bool { return s.started.Load() }
 
-// Drain reads a little of what is left, so that the connection can be used again, and closes body.
+// Drain reads up to maxDrainBytes of the rest of body, so that the connection can be reused, and closes body.
 func Drain(body io.ReadCloser) {
-	// Errors here only cost the connection.
-	_, _ = io.CopyN(io.Discard, body, drainLimit)
+	// An error here only prevents the reuse of the connection.
+	_, _ = io.CopyN(io.Discard, body, maxDrainBytes)
 	_ = body.Close()
 }
 
-// WriteJSON sends v with the status.
+// WriteJSON sends v as a JSON response with the given status.
 func WriteJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// The reader may be gone; there is nobody left to tell.
+	// Encoding fails if the client has disconnected; there is no other way to report the error.
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// PostOnce posts a message as JSON. The transport has nothing to send it a second time.
+// PostOnce sends message as JSON in a POST request. The request has no GetBody, so that the transport cannot send it a second time.
 func PostOnce(ctx context.Context, client *http.Client, url string, message any) (*http.Response, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
-		return nil, eris.Wrap(err, "httpx: encode")
+		return nil, eris.Wrap(err, "httpx: encode request body")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
-		return nil, eris.Wrap(err, "httpx: request")
+		return nil, eris.Wrap(err, "httpx: create request")
 	}
 	req.GetBody = nil
 	resp, err := client.Do(req)
-	return resp, eris.Wrap(err, "httpx: call")
+	return resp, eris.Wrap(err, "httpx: send request")
 }
 
-// maxAnswer bounds the answers that AskOnce reads.
-const maxAnswer = 256 << 10
+// maxResponseBytes is the maximum size of the response that AskOnce reads.
+const maxResponseBytes = 256 << 10
 
-// StatusError says that a call was answered with a status other than 200.
+// StatusError is the error of a call that was answered with a status other than 200.
 type StatusError struct{ Status int }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("httpx: status %d", e.Status) }
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("httpx: unexpected response status %d", e.Status)
+}
 
-// AskOnce posts a message as JSON, see PostOnce, and decodes the answer. An answer with another status than 200 is a *StatusError.
+// AskOnce sends message with PostOnce and decodes the JSON response into answer. It returns a *StatusError for a response status other
+// than 200.
 func AskOnce(ctx context.Context, client *http.Client, url string, message, answer any) error {
 	resp, err := PostOnce(ctx, client, url, message)
 	if err != nil {
@@ -125,23 +130,24 @@
 	if resp.StatusCode != http.StatusOK {
 		return &StatusError{resp.StatusCode}
 	}
-	return eris.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(answer), "httpx: answer")
+	return eris.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(answer), "httpx: decode response")
 }
 
-// IsUnanswered reports whether a call failed without any answer.
+// IsUnanswered reports whether err is set and is not a StatusError, so that the call failed without a usable response.
 func IsUnanswered(err error) bool {
 	var status *StatusError
 	return err != nil && !errors.As(err, &status)
 }
 
-// Serve serves l until ctx ends, then takes no more connections and lets answers that are being written end, for closeTime at most.
+// Serve serves connections of l until ctx ends. It then accepts no more connections, and gives responses in progress at most
+// shutdownTimeout to complete.
 func Serve(ctx context.Context, s *http.Server, l net.Listener) error {
 	closed := make(chan struct{})
 	stop := context.AfterFunc(ctx, func() {
 		defer close(closed)
-		last, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTime)
+		shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 		defer cancel()
-		if err := s.Shutdown(last); err != nil {
+		if err := s.Shutdown(shutdownCtx); err != nil {
 			_ = s.Close()
 		}
 	})
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -13,17 +13,17 @@
 	"k8s.io/klog/v2"
 )
 
-// reportEvery is how often counters reach the scraped values.
-const reportEvery = time.Second
+// reportInterval is the time between updates of the scraped values from the counters.
+const reportInterval = time.Second
 
-// Metrics is the root scope and the handler that shows it.
+// Metrics holds the root scope of a process and the HTTP handler that exposes its metrics.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// New returns the metrics of a process, tagged with the box.
+// New returns the metrics of a process. Each metric has the tag "box" with the given name.
 func New(box string) *Metrics {
 	registry := prom.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -34,9 +34,9 @@
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "bellgap", Tags: map[string]string{"box": box}, CachedReporter: reporter, Separator: prometheus.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
+	}, reportInterval)
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close reports a last time.
+// Close reports the metrics a last time and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/internal/resource/endpoint.go
+++ b/internal/resource/endpoint.go
@@ -5,31 +5,32 @@
 	"net/netip"
 )
 
-// Endpoint is a running instance of a service, as discovery shows it. Its name is the instance's id, which no other instance has but the
-// same one when it starts again.
+// Endpoint is a running instance of a service, as reported by discovery. The resource name is the instance's id. The id is unique, and an
+// instance keeps it when it restarts.
 type Endpoint struct {
 	Service string         `json:"service"`
 	Address netip.AddrPort `json:"address"`
 	Zone    string         `json:"zone"`
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int `json:"slots"`
-	// Leaving says that it ends soon and gets no new work.
+	// Leaving is set if the endpoint ends soon. It then gets no new work.
 	Leaving bool `json:"leaving,omitempty"`
-	// BaseModel is the base model that it holds, empty if it holds none.
+	// BaseModel is the base model that the endpoint has loaded, empty if it has loaded none.
 	BaseModel string `json:"base_model,omitempty"`
-	// Started is the Unix millisecond of its start, zero if it does not say. An instance that starts again under its name holds nothing.
+	// Started is the start time in Unix milliseconds, zero if the endpoint does not report it. An instance that restarts under the same
+	// name has nothing loaded.
 	Started int64 `json:"started,omitempty"`
 }
 
 // Check implements Spec.
 func (e *Endpoint) Check(string) error {
-	return cmp.Or(needAddr("address", e.Address), needRange("slots", e.Slots, 0, MaxBatch))
+	return cmp.Or(checkAddress("address", e.Address), checkRange("slots", e.Slots, 0, MaxBatch))
 }
 
 func (*Endpoint) kind() Kind { return KindEndpoint }
 
-// Holding lists the adapter versions that an endpoint holds, as discovery shows them; it lags behind. It stands apart from the
-// endpoint of the same name because it changes with every load.
+// Holding lists the adapter versions that an endpoint has loaded, as reported by discovery with a delay. It is a kind of its own, and not
+// part of the Endpoint of the same name, because it changes with every load.
 type Holding struct {
 	Holds []string `json:"holds,omitempty"`
 }
--- a/internal/resource/ref.go
+++ b/internal/resource/ref.go
@@ -5,25 +5,25 @@
 	"strings"
 )
 
-// Ref names one version of one adapter.
+// Ref identifies one version of an adapter.
 type Ref struct {
 	Adapter string
 	Version string
 }
 
-// ParseRef reads "adapter@version".
+// ParseRef parses "adapter@version".
 func ParseRef(s string) (Ref, error) {
 	adapter, version, ok := strings.Cut(s, "@")
 	if !ok {
-		return Ref{}, fmt.Errorf("%q must be written adapter@version", s)
+		return Ref{}, fmt.Errorf("%q must have the form adapter@version", s)
 	}
-	if !partRule.MatchString(adapter) || !partRule.MatchString(version) {
-		return Ref{}, fmt.Errorf("%q must be written adapter@version, each part matching %s", s, partRule)
+	if !namePartPattern.MatchString(adapter) || !namePartPattern.MatchString(version) {
+		return Ref{}, fmt.Errorf("%q must have the form adapter@version, each part matching %s", s, namePartPattern)
 	}
 	return Ref{Adapter: adapter, Version: version}, nil
 }
 
-// IsBase reports whether the base model itself is meant, without an adapter.
+// IsBase reports whether r refers to the base model itself, without an adapter.
 func (r Ref) IsBase() bool { return r.Adapter == "" }
 
 // String returns "adapter@version".
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -1,4 +1,4 @@
-// Package resource holds the kinds that operators declare and their checks.
+// Package resource defines the declared resource kinds and validates them.
 package resource
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// Kind names a kind of declared resource.
+// Kind is the name of a kind of declared resource.
 type Kind string
 
 // The declared kinds.
@@ -30,40 +30,42 @@
 	KindHolding        Kind = "Holding"
 )
 
-// Kinds lists the declared kinds in the order in which they refer to each other.
+// Kinds returns the declared kinds, in the order of their references: Adapter, for example, comes after Cooperative and Priority, which it
+// refers to.
 func Kinds() []Kind {
 	return []Kind{KindCooperative, KindPriority, KindServing, KindEngine, KindService, KindRouting, KindEndpoint, KindHolding, KindAdapter, KindAdapterVersion}
 }
 
-// ParseKind returns the kind whose name is s, in any case, singular or plural.
+// ParseKind returns the kind named s. Case is ignored, and s may be singular or plural.
 func ParseKind(s string) (Kind, error) {
 	for _, k := range Kinds() {
-		if strings.EqualFold(s, string(k)) || strings.EqualFold(s, plural(k)) {
+		if strings.EqualFold(s, string(k)) || strings.EqualFold(s, pluralName(k)) {
 			return k, nil
 		}
 	}
 	return "", eris.Errorf("resource: unknown kind %q (known: %v)", s, Kinds())
 }
 
-func plural(k Kind) string {
+func pluralName(k Kind) string {
 	if stem, ok := strings.CutSuffix(string(k), "y"); ok {
 		return stem + "ies"
 	}
 	return string(k) + "s"
 }
 
-// Spec is the declared part of a resource. It is sealed: the types of this package are all there are.
+// Spec is the declared part of a resource. Only types of this package implement it.
 type Spec interface {
-	// Check returns an error that names the first wrong field.
+	// Check returns an error that names the first invalid field.
 	Check(name string) error
 	kind() Kind
 }
 
-// Resource is one declared resource.
+// Resource is a declared resource.
 type Resource struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// Generation grows with each accepted change, whatever the platform's versions do; boxes write it, operators do not.
+	// Generation increases with each accepted change, independently of the platform's version numbers. Only boxes write it, never
+	// operators.
 	Generation int64 `json:"generation,omitempty"`
 	Spec       Spec  `json:"spec"`
 }
@@ -75,10 +77,10 @@
 	Spec       json.RawMessage `json:"spec"`
 }
 
-// UnmarshalJSON reads the spec type that the kind names; unknown fields are errors.
+// UnmarshalJSON decodes the spec into the type that belongs to the kind. It rejects unknown fields.
 func (r *Resource) UnmarshalJSON(b []byte) error {
 	var raw rawResource
-	if err := strict(b, &raw); err != nil {
+	if err := decodeStrict(b, &raw); err != nil {
 		return err
 	}
 	kind, err := ParseKind(string(raw.Kind))
@@ -87,7 +89,7 @@
 	}
 	spec := newSpec(kind)
 	if len(raw.Spec) > 0 {
-		if err := strict(raw.Spec, spec); err != nil {
+		if err := decodeStrict(raw.Spec, spec); err != nil {
 			return eris.Wrapf(err, "resource: %s %q", kind, raw.Name)
 		}
 	}
@@ -95,13 +97,13 @@
 	return nil
 }
 
-// Check returns an error that names the first wrong field.
+// Check returns an error that names the first invalid field.
 func (r Resource) Check() error {
 	if r.Spec == nil {
-		return eris.Errorf("resource: %s %q: no spec", r.Kind, r.Name)
+		return eris.Errorf("resource: %s %q: spec is missing", r.Kind, r.Name)
 	}
-	if !nameRule.MatchString(r.Name) {
-		return eris.Errorf("resource: %s %q: name must match %s", r.Kind, r.Name, nameRule)
+	if !namePattern.MatchString(r.Name) {
+		return eris.Errorf("resource: %s %q: name must match %s", r.Kind, r.Name, namePattern)
 	}
 	if err := r.Spec.Check(r.Name); err != nil {
 		return eris.Wrapf(err, "resource: %s %q", r.Kind, r.Name)
@@ -109,10 +111,10 @@
 	return nil
 }
 
-func strict(b []byte, into any) error {
+func decodeStrict(b []byte, target any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
-	return d.Decode(into)
+	return d.Decode(target)
 }
 
 func newSpec(k Kind) Spec {
@@ -141,8 +143,8 @@
 }
 
 var (
-	nameRule = regexp.MustCompile(`^[a-z0-9]([a-z0-9.@-]{0,126}[a-z0-9])?$`)
-	partRule = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
+	namePattern     = regexp.MustCompile(`^[a-z0-9]([a-z0-9.@-]{0,126}[a-z0-9])?$`)
+	namePartPattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]{0,62}[a-z0-9])?$`)
 )
 
 // Duration is a time.Duration written as text such as "250ms".
@@ -158,23 +160,23 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-func needPart(field, v string) error {
-	if !partRule.MatchString(v) {
-		return fmt.Errorf("%s %q must match %s", field, v, partRule)
+func checkNamePart(field, v string) error {
+	if !namePartPattern.MatchString(v) {
+		return fmt.Errorf("%s %q must match %s", field, v, namePartPattern)
 	}
 	return nil
 }
 
-func needAddr(field string, v netip.AddrPort) error {
+func checkAddress(field string, v netip.AddrPort) error {
 	if !v.IsValid() || v.Port() == 0 {
 		return fmt.Errorf("%s must be an IP address with a port", field)
 	}
 	return nil
 }
 
-func needRange(field string, v, low, high int) error {
+func checkRange(field string, v, low, high int) error {
 	if v < low || v > high {
-		return fmt.Errorf("%s is %d; it must lie in %d..%d", field, v, low, high)
+		return fmt.Errorf("%s is %d, must be in %d..%d", field, v, low, high)
 	}
 	return nil
 }
--- a/internal/resource/routing.go
+++ b/internal/resource/routing.go
@@ -8,7 +8,7 @@
 	"github.com/bellgap/bellgap/internal/customer"
 )
 
-// Bounds of a routing configuration.
+// Upper limits in a routing configuration.
 const (
 	maxRoutes   = 20000
 	maxWeight   = 1000000
@@ -16,7 +16,7 @@
 	maxPriority = 9
 )
 
-// RouteKind says how often a request on a route may run.
+// RouteKind determines how often a request on a route may run.
 type RouteKind string
 
 // The kinds of routes.
@@ -25,18 +25,18 @@
 	RouteRepeatable RouteKind = "repeatable"
 	// RouteOnce requests run at most once for each request id.
 	RouteOnce RouteKind = "once"
-	// RouteStream answers are series of events; unless Resumable they run at most once.
+	// RouteStream requests are answered with a stream of events. They run at most once, unless the route is Resumable.
 	RouteStream RouteKind = "stream"
 )
 
-// Routing is the whole routing configuration; one version of it is in force at a time.
+// Routing is the whole routing configuration. Only one version is in force at a time.
 type Routing struct {
-	// Version is the operator's number of this configuration.
+	// Version is the version number that the operator gives the configuration.
 	Version  int64          `json:"version"`
 	Routes   []Route        `json:"routes"`
 	Services []RouteService `json:"services"`
 	Limits   CallerLimits   `json:"limits"`
-	// Keyed says that requests carry the key of a customer, but for those on open routes.
+	// Keyed is set if requests must carry a customer's key, except on routes that are Open.
 	Keyed     bool                `json:"keyed,omitempty"`
 	Customers []customer.Customer `json:"customers,omitempty"`
 }
@@ -44,7 +44,7 @@
 // Check implements Spec.
 func (r *Routing) Check(string) error {
 	if len(r.Routes) > maxRoutes {
-		return fmt.Errorf("routes has %d entries; at most %d are taken", len(r.Routes), maxRoutes)
+		return fmt.Errorf("routes has %d entries, at most %d are allowed", len(r.Routes), maxRoutes)
 	}
 	for i := range r.Routes {
 		if err := r.Routes[i].check(); err != nil {
@@ -56,23 +56,23 @@
 
 func (*Routing) kind() Kind { return KindRouting }
 
-// Route sends the requests of a host whose path starts with a prefix to services.
+// Route sends the requests that match a host and a path prefix to services.
 type Route struct {
 	Name   string    `json:"name"`
 	Host   string    `json:"host"`
 	Prefix string    `json:"prefix"`
 	Kind   RouteKind `json:"kind"`
-	// Resumable streams may be taken up at another engine after their last event.
+	// Resumable is set if another engine may continue an interrupted stream after its last event.
 	Resumable bool `json:"resumable,omitempty"`
-	// Timeout bounds how long a request is held, Objective is when an answer is due.
+	// Timeout is the longest time that a box keeps a request. Objective is the target time for the answer.
 	Timeout   Duration `json:"timeout"`
 	Objective Duration `json:"objective"`
-	// Attempts is the largest number of endpoints that one request may be sent to.
+	// Attempts is the maximum number of endpoints that one request may be sent to.
 	Attempts int `json:"attempts"`
-	// Priority is the rank of the requests; 0 goes first.
+	// Priority is the rank of the route's requests; 0 is the highest.
 	Priority int      `json:"priority"`
 	Targets  []Target `json:"targets"`
-	// Open says that requests on the route need no customer's key.
+	// Open is set if requests on the route need no customer key.
 	Open bool `json:"open,omitempty"`
 }
 
@@ -85,7 +85,7 @@
 	switch r.Kind {
 	case RouteRepeatable, RouteOnce, RouteStream:
 	default:
-		return fmt.Errorf("kind %q is not known", r.Kind)
+		return fmt.Errorf("kind %q is unknown", r.Kind)
 	}
 	if !strings.HasPrefix(r.Prefix, "/") {
 		return fmt.Errorf("prefix %q must start with /", r.Prefix)
@@ -97,45 +97,45 @@
 		return fmt.Errorf("targets must not be empty")
 	}
 	for _, t := range r.Targets {
-		if err := needRange("weight", t.Weight, 0, maxWeight); err != nil {
+		if err := checkRange("weight", t.Weight, 0, maxWeight); err != nil {
 			return err
 		}
 	}
-	if err := needRange("priority", r.Priority, 0, maxPriority); err != nil {
+	if err := checkRange("priority", r.Priority, 0, maxPriority); err != nil {
 		return err
 	}
-	return needRange("attempts", r.Attempts, 1, maxAttempts)
+	return checkRange("attempts", r.Attempts, 1, maxAttempts)
 }
 
-// Target is a service with its share of a route's requests.
+// Target is a service and its weight among the targets of a route.
 type Target struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
-// RouteService describes a service whose endpoints are found by discovery.
+// RouteService describes a service whose endpoints are discovered.
 type RouteService struct {
 	Name string `json:"name"`
-	// MaxConns bounds the connections that one endpoint takes from all boxes together.
+	// MaxConns is the maximum number of connections of all boxes together to one endpoint.
 	MaxConns int `json:"max_conns"`
-	// Engine is set for services of model engines.
+	// Engine describes the engines of a service of model engines. It is nil for other services.
 	Engine *EngineClass `json:"engine,omitempty"`
 }
 
 // EngineClass describes the engines of a service.
 type EngineClass struct {
-	// Batch is how many requests an engine runs at once, KVTokens how many tokens its cache holds.
+	// Batch is the number of requests that an engine runs concurrently. KVTokens is the capacity of its KV cache, in tokens.
 	Batch    int `json:"batch"`
 	KVTokens int `json:"kv_tokens"`
-	// AdapterSlots bounds the adapters, and WeightsMB all weights, that an engine holds.
+	// AdapterSlots is the maximum number of adapters that an engine holds. WeightsMB is the memory for all weights, in MB.
 	AdapterSlots int     `json:"adapter_slots"`
 	WeightsMB    float64 `json:"weights_mb"`
-	// LoadsPerSecond is what the weight store allows for base models over all engines.
+	// LoadsPerSecond is the rate of base model loads that the weight store allows for all engines together.
 	LoadsPerSecond float64     `json:"loads_per_second"`
 	Models         []BaseModel `json:"models"`
 }
 
-// Slots returns how many adapters an engine with the model has room for.
+// Slots returns the number of adapters that fit in an engine that has loaded the base model.
 func (e *EngineClass) Slots(model string) int {
 	for _, m := range e.Models {
 		if m.Name != model || m.AdapterMB <= 0 {
@@ -154,7 +154,7 @@
 	Adapters  int     `json:"adapters"`
 }
 
-// CallerLimits bound what callers may send and how long a connection may rest.
+// CallerLimits holds the limits on what callers send, and on how long a connection may be idle.
 type CallerLimits struct {
 	HeaderBytes int      `json:"header_bytes"`
 	BodyBytes   int64    `json:"body_bytes"`
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -10,29 +10,31 @@
 	"time"
 )
 
-// Header names that carry a result beside the HTTP status.
+// Names of the headers that carry details of a result in addition to the HTTP status.
 const (
 	HeaderCode    = "Bellgap-Code"
 	HeaderRan     = "Bellgap-Ran"
 	HeaderEngine  = "Bellgap-Engine"
 	HeaderBox     = "Bellgap-Box"
 	HeaderRequest = "X-Request-Id"
-	// HeaderRate is how many requests a second an engine or a service takes from all boxes together; bellgap's own interface uses it.
+	// HeaderRate carries the rate, in requests per second, that an engine or a service accepts from all boxes together. It is used in
+	// bellgap's own engine interface.
 	HeaderRate = "Bellgap-Rate-Limit"
-	// HeaderLeaving is "1" where an engine or a service leaves: it gets no new work.
+	// HeaderLeaving is "1" if an engine or a service is leaving. It then gets no new work.
 	HeaderLeaving = "Bellgap-Leaving"
 )
 
 // Error is a result other than OK.
 type Error struct {
 	Code Code
-	// Detail adds to the text of the code; it holds no secrets.
+	// Detail supplements the text of the code. It is sent to callers and must not contain secrets.
 	Detail string
-	// RetryAfter replaces the default of the code when positive.
+	// RetryAfter overrides the code's default if it is positive.
 	RetryAfter time.Duration
-	// Elsewhere lists addresses that would take the request, best first.
+	// Elsewhere lists the addresses that would accept the request, best first.
 	Elsewhere []string
-	// BrokenOff says that the far side broke the connection off on which it had the request. It is known to the box alone that sent it.
+	// BrokenOff is set if the remote side closed the connection over which it had received the request. It is set only on the box that
+	// sent the request, and is not passed on to callers.
 	BrokenOff bool
 }
 
@@ -41,19 +43,20 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Cut returns the Error of a call whose connection ended with err. What ended for want of time, or by this side, was not broken off.
+// Cut returns the Error of a call whose connection failed with err. BrokenOff stays unset if the call timed out or this side canceled it.
 func Cut(c Code, err error) *Error {
 	e := New(c, "%v", err)
 	e.BrokenOff = !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
 	return e
 }
 
-// After returns what a caller may be told when earlier tries may have run: that the request did not run holds for the last one only then.
+// After returns the Error to send to the caller of a request that was tried several times. If an earlier try may have run, a result that
+// says the request did not run is true of the last try only, so After replaces it by AnswerLost.
 func (e *Error) After(mayHaveRun bool) *Error {
 	if !mayHaveRun || e.Code.Info().Ran != RanNo {
 		return e
 	}
-	return New(AnswerLost, "an earlier try may have run; then %s", e.Error())
+	return New(AnswerLost, "an earlier attempt may have run; the last attempt failed: %s", e.Error())
 }
 
 // Error implements error.
@@ -64,7 +67,7 @@
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Detail)
 }
 
-// Wait returns when to ask again, or zero.
+// Wait returns the delay after which a retry makes sense, or zero if the caller should not retry.
 func (e *Error) Wait() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -72,7 +75,7 @@
 	return e.Code.Info().RetryAfter
 }
 
-// From returns the Error inside err, or one with the fallback code.
+// From returns the Error that err wraps, or a new Error with the fallback code if err wraps none.
 func From(err error, fallback Code) *Error {
 	var e *Error
 	if errors.As(err, &e) {
@@ -81,13 +84,13 @@
 	return &Error{Code: fallback, Detail: err.Error()}
 }
 
-// Is reports whether err ended with code c.
+// Is reports whether err wraps an Error with code c.
 func Is(err error, c Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == c
 }
 
-// Body is the JSON form of an Error; its shape is the one OpenAI clients read.
+// Body is the JSON form of an Error. It has the error format that OpenAI clients expect.
 type Body struct {
 	Error BodyError `json:"error"`
 }
@@ -116,7 +119,7 @@
 	}}
 }
 
-// Write sends e as the whole answer.
+// Write sends e as the complete response, with the HTTP status of its code and a Retry-After header if a retry makes sense.
 func (e *Error) Write(w http.ResponseWriter, requestID string) {
 	if d := e.Wait(); d > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10))
@@ -124,16 +127,16 @@
 	e.WriteStatus(w, e.Code.Info().Status, requestID)
 }
 
-// ReadJSON reads a message of so many bytes at most. It answers with BadRequest and returns false if that is not possible.
-func ReadJSON(w http.ResponseWriter, r *http.Request, most int64, into any) bool {
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, most)).Decode(into)
+// ReadJSON decodes a request body of at most maxBytes bytes into target. If that fails, it responds with BadRequest and returns false.
+func ReadJSON(w http.ResponseWriter, r *http.Request, maxBytes int64, target any) bool {
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBytes)).Decode(target)
 	if err != nil {
 		New(BadRequest, "%v", err).Write(w, "")
 	}
 	return err == nil
 }
 
-// WriteStatus sends e as the whole answer with a status of its own; when to come back is left to the caller.
+// WriteStatus sends e as the complete response with the given HTTP status. It sets no Retry-After header; its caller may do so.
 func (e *Error) WriteStatus(w http.ResponseWriter, status int, requestID string) {
 	i := e.Code.Info()
 	h := w.Header()
@@ -144,11 +147,11 @@
 		h.Set(HeaderRequest, requestID)
 	}
 	w.WriteHeader(status)
-	// The caller may be gone; there is nobody left to tell.
+	// Encoding fails if the client has disconnected; there is no other way to report the error.
 	_ = json.NewEncoder(w).Encode(e.Body(requestID))
 }
 
-// Decode reads the Error out of an answer's body; ok is false if it holds none.
+// Decode extracts the Error from a response body. ok is false if the body contains none.
 func Decode(body []byte) (e *Error, ok bool) {
 	var b Body
 	// A body that is not JSON leaves the code zero.
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,4 +1,4 @@
-// Package result holds the numbered result codes that end every call.
+// Package result defines the numbered result codes. Every call ends with one of them.
 package result
 
 import (
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Code numbers one way in which a call can end; docs/RESULT_CODES.md lists all.
+// Code is the number of a result. docs/RESULT_CODES.md lists all codes.
 type Code int
 
-// Result codes. 1xxx: served; 2xxx: the caller's input; 3xxx: refused before it
-// ran; 4xxx: the back end; 5xxx: declared resources; 6xxx: between boxes.
+// Result codes. 1xxx: request served. 2xxx: problem in the caller's input. 3xxx: request refused before it ran. 4xxx: back end failure.
+// 5xxx: errors of declared resources. 6xxx: results sent between boxes.
 const (
 	OK Code = 1000
 
@@ -70,10 +70,10 @@
 	NotAccountable Code = 6009
 )
 
-// Ran says whether the back end ran the request.
+// Ran states whether the back end ran the request.
 type Ran int
 
-// The three answers to "did it run?".
+// Values of Ran.
 const (
 	RanNo Ran = iota
 	RanYes
@@ -99,16 +99,16 @@
 	Name string
 	// Status is the HTTP status that carries the code.
 	Status int
-	// Ran is what the code says about the request.
+	// Ran states whether a request that ended with the code was run.
 	Ran Ran
-	// RetryAfter is the default time after which asking again makes sense; zero means asking again unchanged does not help.
+	// RetryAfter is the default delay after which a retry makes sense. Zero means that retrying the unchanged request does not help.
 	RetryAfter time.Duration
-	// Text is one sentence for the caller.
+	// Text explains the result to the caller in one sentence.
 	Text string
 }
 
-// statusClientClosed is the customary status for a caller that went away.
-const statusClientClosed = 499
+// statusClientClosedRequest is the non-standard but customary HTTP status for a client that closed the connection before the response.
+const statusClientClosedRequest = 499
 
 var table = []Info{
 	{OK, "ok", http.StatusOK, RanYes, 0, "served"},
@@ -120,7 +120,7 @@
 	{UnknownService, "unknown_service", http.StatusNotFound, RanNo, 0, "no such service is declared"},
 	{DeadlineExpired, "deadline_expired", http.StatusGatewayTimeout, RanNo, 0, "the deadline had passed before the request could start"},
 	{Unauthorized, "unauthorized", http.StatusUnauthorized, RanNo, 0, "the token or key is missing or not known"},
-	{CallerGone, "caller_gone", statusClientClosed, RanUnknown, 0, "the caller went away"},
+	{CallerGone, "caller_gone", statusClientClosedRequest, RanUnknown, 0, "the caller went away"},
 	{NotFound, "not_found", http.StatusNotFound, RanNo, 0, "no such path"},
 	{DuplicateRequest, "duplicate_request", http.StatusConflict, RanNo, 0, "a request with this id has been taken already"},
 
@@ -170,7 +170,7 @@
 // All returns every code in table order.
 func All() []Info { return append([]Info(nil), table...) }
 
-// Info returns the description of c; an unknown number is described as AnswerLost, which claims least.
+// Info returns the description of c. An unknown code is described as AnswerLost, which leaves open whether the request ran.
 func (c Code) Info() Info {
 	for _, i := range table {
 		if i.Code == c {
--- a/internal/result/result_test.go
+++ b/internal/result/result_test.go
@@ -14,13 +14,13 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-func TestTable(t *testing.T) {
+func TestCodeTableMatchesPage(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/RESULT_CODES.md")
 	c.Assert(err, qt.IsNil)
 	names := map[string]bool{}
 	for _, i := range result.All() {
-		c.Check(names[i.Name], qt.IsFalse, qt.Commentf("%s stands twice", i.Name))
+		c.Check(names[i.Name], qt.IsFalse, qt.Commentf("name %s occurs twice", i.Name))
 		names[i.Name] = true
 		c.Check(i.Status >= 200 && i.Status < 600, qt.IsTrue)
 		wait := "-"
@@ -28,7 +28,7 @@
 			wait = i.RetryAfter.String()
 		}
 		row := fmt.Sprintf("| %d | %s | %d | %s | %s | %s |", i.Code, i.Name, i.Status, i.Ran, wait, i.Text)
-		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("docs/RESULT_CODES.md lacks: %s", row))
+		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("docs/RESULT_CODES.md lacks the row: %s", row))
 	}
 }
 
@@ -48,7 +48,8 @@
 	c.Check(got.Elsewhere, qt.DeepEquals, e.Elsewhere)
 }
 
-// FuzzDecode checks that no body makes a result of a code that claims more than is known.
+// FuzzDecode checks that an Error decoded with an unknown code leaves open whether the request ran, and that every decoded Error can be
+// encoded.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(`{"error":{"code":3001,"message":"x"}}`))
 	f.Add([]byte(`{"error":"busy"}`))
@@ -62,7 +63,7 @@
 			known = known || i.Code == e.Code
 		}
 		if !known && e.Code.Info().Ran != result.RanUnknown {
-			t.Fatalf("code %d claims %s", e.Code, e.Code.Info().Ran)
+			t.Fatalf("unknown code %d has Ran %s", e.Code, e.Code.Info().Ran)
 		}
 		if _, err := json.Marshal(e.Body("")); err != nil {
 			t.Fatal(err)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"github.com/bellgap/bellgap/internal/settings"
 )
 
-const good = `
+const validSettings = `
 [box]
 name = "box-1"
 zone = "hall-a"
@@ -25,13 +25,13 @@
 
 func TestRead(t *testing.T) {
 	for _, tt := range []struct{ name, text, want string }{
-		{"good", good, ""},
+		{"good", validSettings, ""},
 		{"empty", "", "box.name: must be set"},
-		{"unknown key", good + "[log]\nlevels = 2\n", "log.levels: unknown key"},
-		{"out of range", good + "[log]\nlevel = 9\n", "log.level: is 9; it must lie in 0..4"},
-		{"term below lease", good + "[timing]\nterm = \"1s\"\n", "timing.term: is 1s; it must lie in 3s.."},
+		{"unknown key", validSettings + "[log]\nlevels = 2\n", "log.levels: unknown key"},
+		{"out of range", validSettings + "[log]\nlevel = 9\n", "log.level: is 9, must be in 0..4"},
+		{"term below lease", validSettings + "[timing]\nterm = \"1s\"\n", "timing.term: is 1s, must be in 3s.."},
 		{"not TOML", "box", "box.toml"},
-		{"host name", strings.Replace(good, "10.0.0.9", "platform", 1), "platform.address"},
+		{"host name", strings.Replace(validSettings, "10.0.0.9", "platform", 1), "platform.address"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -51,19 +51,19 @@
 	page, err := os.ReadFile("../../docs/SETTINGS.md")
 	c.Assert(err, qt.IsNil)
 	for _, k := range settings.Keys() {
-		row := fmt.Sprintf("| `%s` | %s | %s |", k.Name, k.Default, k.Text)
-		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("docs/SETTINGS.md lacks: %s", row))
+		row := fmt.Sprintf("| `%s` | %s | %s |", k.Name, k.Default, k.Description)
+		c.Check(strings.Contains(string(page), row), qt.IsTrue, qt.Commentf("docs/SETTINGS.md lacks the row: %s", row))
 	}
 }
 
-// FuzzRead checks that settings that pass have what every box needs.
+// FuzzRead checks that accepted settings set the box name and the peer address, and keep the lease and term bounds.
 func FuzzRead(f *testing.F) {
-	f.Add(good)
+	f.Add(validSettings)
 	f.Add("[timing]\nbeat = \"1h\"")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := settings.Read(strings.NewReader(text), "x")
 		if err == nil && (s.Box.Name == "" || !s.Listen.Peer.IsValid() || s.Timing.LeaseTTL < 3*s.Timing.Beat || s.Timing.Term < s.Timing.LeaseTTL) {
-			t.Fatalf("accepted: %+v", s)
+			t.Fatalf("invalid settings accepted: %+v", s)
 		}
 	})
 }
