--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -58,9 +58,9 @@
 	Source  follow.Source
 	Engines owner.Engines
 	Wire    relay.Wire
-	// Directory answers callers that ask for addresses, Ready the platform's checks.
-	Directory func(*Routed) http.Handler
-	Ready     func(*Routed) http.Handler
+	// NewDirectoryHandler answers callers that ask for addresses, Ready the platform's checks.
+	NewDirectoryHandler func(*Routed) http.Handler
+	NewReadyHandler     func(*Routed) http.Handler
 }
 
 // RoutedConfig configures a Routed.
@@ -274,8 +274,8 @@
 	b.root.Add(server{b.listeners.caller, b.relay})
 	b.root.Add(server{b.listeners.peer, peerMux})
 	b.root.Add(server{b.listeners.operator, op.Handler()})
-	b.root.Add(server{b.ready, b.cfg.Deployment.Ready(b)})
-	b.root.Add(server{b.directory, b.cfg.Deployment.Directory(b)})
+	b.root.Add(server{b.ready, b.cfg.Deployment.NewReadyHandler(b)})
+	b.root.Add(server{b.directory, b.cfg.Deployment.NewDirectoryHandler(b)})
 	b.root.Add(b.follower)
 	b.root.Add(grants)
 	b.root.Add(b.places)
--- a/internal/cli/routed.go
+++ b/internal/cli/routed.go
@@ -44,10 +44,10 @@
 	b, err := box.NewRouted(box.RoutedConfig{Settings: s, Deployment: box.Deployment{
 		API: store, Source: store, Wire: platform.Wire{},
 		Engines: platform.NewWorkers(platform.WorkersConfig{Box: s.Box.Name, HTTP: &http.Client{Transport: httpx.NewTransport(maxIdleWorkerConns)}}),
-		Directory: func(b *box.Routed) http.Handler {
+		NewDirectoryHandler: func(b *box.Routed) http.Handler {
 			return platform.DirectoryHandler(platform.EdgeConfig{Fleet: b, Keep: locateKeep})
 		},
-		Ready: func(b *box.Routed) http.Handler {
+		NewReadyHandler: func(b *box.Routed) http.Handler {
 			return platform.ReadyHandler(platform.EdgeConfig{Fleet: b, Keep: locateKeep})
 		},
 	}})
