--- a/internal/box/process_test.go
+++ b/internal/box/process_test.go
@@ -109,7 +109,7 @@
 	s.mu.Lock()
 	address := s.boxes[r.IntN(len(s.boxes))].address
 	s.mu.Unlock()
-	o := invariant.Outcome{Request: id, Model: fmt.Sprintf("adapter-%d@1", r.IntN(models))}
+	o := invariant.Outcome{RequestID: id, Model: fmt.Sprintf("adapter-%d@1", r.IntN(models))}
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":5,"stream":true,"prompt":"x","user":%q}`, o.Model, id)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+"/v1/completions", strings.NewReader(body))
 	if err != nil {
@@ -122,8 +122,8 @@
 		var b []byte
 		b, err = io.ReadAll(resp.Body)
 		_ = resp.Body.Close()
-		o.Answer, o.Ran = string(b), resp.Header.Get(result.HeaderRan)
-		o.Served = err == nil && resp.StatusCode == http.StatusOK && strings.HasSuffix(o.Answer, "data: [DONE]\n\n")
+		o.Response, o.Ran = string(b), resp.Header.Get(result.HeaderRan)
+		o.Served = err == nil && resp.StatusCode == http.StatusOK && strings.HasSuffix(o.Response, "data: [DONE]\n\n")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,11 +159,11 @@
 // wholeAnswer reports whether an answer is all five tokens of the adapter asked for, and nothing else.
 func wholeAnswer(o invariant.Outcome) bool {
 	for i := range 5 {
-		if !strings.Contains(o.Answer, fmt.Sprintf("%s:%d ", o.Model, i)) {
+		if !strings.Contains(o.Response, fmt.Sprintf("%s:%d ", o.Model, i)) {
 			return false
 		}
 	}
-	return strings.Count(o.Answer, `"model":"`) == strings.Count(o.Answer, `"model":"`+o.Model+`"`)
+	return strings.Count(o.Response, `"model":"`) == strings.Count(o.Response, `"model":"`+o.Model+`"`)
 }
 
 // TestStorm kills, freezes and stops boxes under requests that may not be repeated.
@@ -205,8 +205,8 @@
 			runs[id] += n
 		}
 	}
-	c.Check(invariant.AtMostOnce(s.outcomes, runs), qt.IsNil)
-	c.Check(invariant.NotRunIsTrue(s.outcomes, runs), qt.IsNil)
+	c.Check(invariant.CheckAtMostOnce(s.outcomes, runs), qt.IsNil)
+	c.Check(invariant.CheckNotRunReports(s.outcomes, runs), qt.IsNil)
 	c.Check(invariant.OwnAnswers(s.outcomes, wholeAnswer), qt.IsNil)
 	served := 0
 	for _, o := range s.outcomes {
--- a/internal/invariant/ownership.go
+++ b/internal/invariant/ownership.go
@@ -14,9 +14,9 @@
 	Epoch  uint64
 }
 
-// OneAuthority returns an error if two boxes could give one engine orders at the same instant.
+// CheckSingleAuthority returns an error if two boxes could give one engine orders at the same instant.
 // The history is in the order of time; one instant's records stand together.
-func OneAuthority(history []Authority) error {
+func CheckSingleAuthority(history []Authority) error {
 	type instant struct {
 		at     time.Time
 		engine string
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// EpochsGrow returns an error if an engine's epoch ever falls, or two boxes act under one epoch.
-func EpochsGrow(history []Authority) error {
+// CheckEpochsIncrease returns an error if an engine's epoch ever falls, or two boxes act under one epoch.
+func CheckEpochsIncrease(history []Authority) error {
 	last := map[string]Authority{}
 	for _, a := range history {
 		b, ok := last[a.Engine]
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -4,35 +4,35 @@
 
 // Outcome is what a caller was told about one request.
 type Outcome struct {
-	// Request names the request; back ends count their runs by it.
-	Request string
+	// RequestID names the request; back ends count their runs by it.
+	RequestID string
 	// Answer is the whole answer if the request was served.
-	Served bool
-	Answer string
+	Served   bool
+	Response string
 	// Ran is "no", "yes" or "unknown", as the caller was told; empty if the connection broke before any word.
 	Ran string
 	// Model is the adapter version that was asked for.
 	Model string
 }
 
-// AtMostOnce returns an error if a request that may not be repeated ran more than once.
-func AtMostOnce(outcomes []Outcome, runs map[string]int) error {
+// CheckAtMostOnce returns an error if a request that may not be repeated ran more than once.
+func CheckAtMostOnce(outcomes []Outcome, runs map[string]int) error {
 	for _, o := range outcomes {
-		if runs[o.Request] > 1 {
-			return fmt.Errorf("invariant: %s ran %d times", o.Request, runs[o.Request])
+		if runs[o.RequestID] > 1 {
+			return fmt.Errorf("invariant: %s ran %d times", o.RequestID, runs[o.RequestID])
 		}
 	}
 	return nil
 }
 
-// NotRunIsTrue returns an error if a request that was said not to have run did run, or a served one did not.
-func NotRunIsTrue(outcomes []Outcome, runs map[string]int) error {
+// CheckNotRunReports returns an error if a request that was said not to have run did run, or a served one did not.
+func CheckNotRunReports(outcomes []Outcome, runs map[string]int) error {
 	for _, o := range outcomes {
-		if o.Ran == "no" && runs[o.Request] > 0 {
-			return fmt.Errorf("invariant: %s was said not to have run, and ran %d times", o.Request, runs[o.Request])
+		if o.Ran == "no" && runs[o.RequestID] > 0 {
+			return fmt.Errorf("invariant: %s was said not to have run, and ran %d times", o.RequestID, runs[o.RequestID])
 		}
-		if o.Served && runs[o.Request] == 0 {
-			return fmt.Errorf("invariant: %s was served, and never ran", o.Request)
+		if o.Served && runs[o.RequestID] == 0 {
+			return fmt.Errorf("invariant: %s was served, and never ran", o.RequestID)
 		}
 	}
 	return nil
@@ -42,7 +42,7 @@
 func OwnAnswers(outcomes []Outcome, whole func(o Outcome) bool) error {
 	for _, o := range outcomes {
 		if o.Served && !whole(o) {
-			return fmt.Errorf("invariant: %s for %s got %q", o.Request, o.Model, o.Answer)
+			return fmt.Errorf("invariant: %s for %s got %q", o.RequestID, o.Model, o.Response)
 		}
 	}
 	return nil
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -263,8 +263,8 @@
 }
 
 func (cl *cluster) checkInvariants() {
-	cl.c.Check(invariant.OneAuthority(cl.history), qt.IsNil)
-	cl.c.Check(invariant.EpochsGrow(cl.history), qt.IsNil)
+	cl.c.Check(invariant.CheckSingleAuthority(cl.history), qt.IsNil)
+	cl.c.Check(invariant.CheckEpochsIncrease(cl.history), qt.IsNil)
 }
 
 func (n *node) freeze() {
