--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -149,7 +149,7 @@
 // buildNotices builds what is known of endpoints by their own word. The fleet's view has it at once; owners learn it, and other boxes are told.
 func (b *Routed) buildNotices() {
 	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, heard bool) {
-		b.catalog.Refresh()
+		b.catalog.InvalidateTopology()
 		if runner, ok := b.owners.Get(e.Name); ok {
 			runner.HearLeft()
 		}
@@ -157,7 +157,7 @@
 			b.teller.Leaves(e)
 		}
 	}})
-	b.catalog.Overlay(func(endpoint string, started int64) bool {
+	b.catalog.SetLeavingFunc(func(endpoint string, started int64) bool {
 		return b.notices.Any() && b.notices.Leaves(clock.Now(), notice.Endpoint{Name: endpoint, Started: started})
 	})
 	b.teller = newTeller(tellerConfig{Board: b.notices, Catalog: b.catalog, Box: b.cfg.Settings.Box.Name, Scope: b.metrics.Scope})
--- a/internal/catalog/bench_test.go
+++ b/internal/catalog/bench_test.go
@@ -33,7 +33,7 @@
 func applyList(tb testing.TB, c *catalog.Catalog, ch objects.Changes) {
 	tb.Helper()
 	l := c.BeginList(ch.Revision)
-	l.Page(ch.Objects)
+	l.ApplyPage(ch.Objects)
 	l.End()
 }
 
@@ -78,7 +78,7 @@
 				revision++
 				o.Version = revision
 				c.Apply(objects.Changes{Objects: []objects.Object{o}, Revision: revision})
-				if _, err := c.Since(revision - 1); err != nil {
+				if _, err := c.ChangesSince(revision - 1); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -111,15 +111,15 @@
 	return c.revision
 }
 
-// Changed returns a channel that is closed at the next change.
-func (c *Catalog) Changed() <-chan struct{} {
+// NextChange returns a channel that is closed at the next change.
+func (c *Catalog) NextChange() <-chan struct{} {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.nextChange
 }
 
-// Skipped returns how many received objects were ignored because they could not be decoded or were invalid.
-func (c *Catalog) Skipped() int {
+// UnreadableObjects returns how many received objects were ignored because they could not be decoded or were invalid.
+func (c *Catalog) UnreadableObjects() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.skipped
@@ -246,15 +246,15 @@
 	return t.withheld != nil && t.withheld.Version.Era() == o.Version.Era() && t.withheld.Version < o.Version
 }
 
-// Withhold starts to withhold the objects of a kind that were deleted in an earlier era and are in the store again.
-func (c *Catalog) Withhold(kind string) {
+// BeginWithholding starts to withhold the objects of a kind that were deleted in an earlier era and are in the store again.
+func (c *Catalog) BeginWithholding(kind string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.withheldKinds[kind] = true
 }
 
-// Withheld returns the number of objects that are withheld.
-func (c *Catalog) Withheld() int {
+// WithheldCount returns the number of objects that are withheld.
+func (c *Catalog) WithheldCount() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	n := 0
@@ -266,8 +266,8 @@
 	return n
 }
 
-// Admit ends the withholding that Withhold started. It applies the withheld objects that the store still has and returns them.
-func (c *Catalog) Admit(kind string) []objects.Object {
+// ReleaseWithheld ends the withholding that Withhold started. It applies the withheld objects that the store still has and returns them.
+func (c *Catalog) ReleaseWithheld(kind string) []objects.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.withheldKinds, kind)
@@ -284,9 +284,9 @@
 	return withheld
 }
 
-// Touch counts an object as changed at its present version although its value is the same. Other boxes may have dropped the object in the
+// MarkChanged counts an object as changed at its present version although its value is the same. Other boxes may have dropped the object in the
 // meantime.
-func (c *Catalog) Touch(kind, name string) {
+func (c *Catalog) MarkChanged(kind, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if e, ok := c.entries[kind][name]; ok {
@@ -378,8 +378,8 @@
 	return s
 }
 
-// Since returns the changes after revision from, or objects.ErrGone if they are no longer kept.
-func (c *Catalog) Since(from objects.Position) (objects.Changes, error) {
+// ChangesSince returns the changes after revision from, or objects.ErrGone if they are no longer kept.
+func (c *Catalog) ChangesSince(from objects.Position) (objects.Changes, error) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	if from < c.deletionsFrom || from > c.revision || from.Era() != c.revision.Era() {
@@ -406,8 +406,8 @@
 	return ch, nil
 }
 
-// All returns all held objects, for a box that starts.
-func (c *Catalog) All() objects.Changes {
+// Snapshot returns all held objects, for a box that starts.
+func (c *Catalog) Snapshot() objects.Changes {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	ch := objects.Changes{Revision: c.revision}
--- a/internal/catalog/listing.go
+++ b/internal/catalog/listing.go
@@ -11,9 +11,9 @@
 type Listing struct {
 	catalog  *Catalog
 	revision objects.Position
-	// Behind is set if the list ends before the catalog's revision or is of a later era. The cause is a stale read, or a platform that was
+	// Stale is set if the list ends before the catalog's revision or is of a later era. The cause is a stale read, or a platform that was
 	// restored from an older copy. Such a list neither removes nor reverts objects. Unstored returns the objects that the platform lost.
-	Behind bool
+	Stale bool
 }
 
 // BeginList starts to apply a list that is complete up to revision.
@@ -21,8 +21,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.listingCount++
-	l := &Listing{catalog: c, revision: revision, Behind: revision < c.revision || c.revision != 0 && revision.Era() > c.revision.Era()}
-	if l.Behind {
+	l := &Listing{catalog: c, revision: revision, Stale: revision < c.revision || c.revision != 0 && revision.Era() > c.revision.Era()}
+	if l.Stale {
 		c.resetVersions()
 	}
 	return l
@@ -43,8 +43,8 @@
 	}
 }
 
-// Page applies one page of the list.
-func (l *Listing) Page(page []objects.Object) {
+// ApplyPage applies one page of the list.
+func (l *Listing) ApplyPage(page []objects.Object) {
 	l.catalog.mu.Lock()
 	defer l.catalog.mu.Unlock()
 	for _, o := range page {
@@ -59,7 +59,7 @@
 	defer c.mu.Unlock()
 	for kind, byName := range c.entries {
 		for name, e := range byName {
-			if !l.Behind && e.lastListing != c.listingCount && e.version > 0 && e.version <= l.revision {
+			if !l.Stale && e.lastListing != c.listingCount && e.version > 0 && e.version <= l.revision {
 				c.remove(key{kind, name}, l.revision)
 			}
 		}
@@ -68,8 +68,8 @@
 	c.advanceRevision(l.revision, true)
 }
 
-// Merge adds objects that the platform has lost and another box holds.
-func (c *Catalog) Merge(lost []objects.Object) {
+// ApplyLost adds objects that the platform has lost and another box holds.
+func (c *Catalog) ApplyLost(lost []objects.Object) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, o := range lost {
@@ -114,8 +114,8 @@
 	return max(c.entries[kind][name].generation, c.deleted[key{kind, name}].generation)
 }
 
-// Unstored returns up to limit declared objects that the platform has lost, or that it has again although they were deleted.
-func (c *Catalog) Unstored(limit int) []objects.Object {
+// LostByStore returns up to limit declared objects that the platform has lost, or that it has again although they were deleted.
+func (c *Catalog) LostByStore(limit int) []objects.Object {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	var lost []objects.Object
@@ -140,9 +140,9 @@
 	return lost
 }
 
-// KindSince returns the objects of a kind whose values changed after revision from, including deletions, and whether the changes are
+// KindChangesSince returns the objects of a kind whose values changed after revision from, including deletions, and whether the changes are
 // complete. If from is zero or deletions after it are no longer kept, KindSince returns all objects of the kind and false.
-func (c *Catalog) KindSince(kind string, from objects.Position) (changed []objects.Object, complete bool) {
+func (c *Catalog) KindChangesSince(kind string, from objects.Position) (changed []objects.Object, complete bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	complete = from > 0 && from >= c.deletionsFrom
@@ -166,8 +166,8 @@
 	return objectOverhead + len(o.Kind) + len(o.Name) + len(o.Value)
 }
 
-// KindSize returns the approximate size in a message, in bytes, of the objects that KindSince returns. It does not encode them.
-func (c *Catalog) KindSize(kind string, from objects.Position) int {
+// KindChangesSize returns the approximate size in a message, in bytes, of the objects that KindSince returns. It does not encode them.
+func (c *Catalog) KindChangesSize(kind string, from objects.Position) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	complete, size := from > 0 && from >= c.deletionsFrom, 0
--- a/internal/catalog/size_test.go
+++ b/internal/catalog/size_test.go
@@ -43,10 +43,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			changed, _ := cat.KindSince(kind, test.from)
+			changed, _ := cat.KindChangesSince(kind, test.from)
 			message, err := json.Marshal(changed)
 			c.Assert(err, qt.IsNil)
-			size := cat.KindSize(kind, test.from)
+			size := cat.KindChangesSize(kind, test.from)
 			if test.wantZero {
 				c.Check(size, qt.Equals, 0)
 				return
--- a/internal/catalog/topology.go
+++ b/internal/catalog/topology.go
@@ -80,16 +80,16 @@
 	return c.topology
 }
 
-// Overlay sets the function that reports whether an endpoint itself has announced that it is leaving. The announcement is newer than the
+// SetLeavingFunc sets the function that reports whether an endpoint itself has announced that it is leaving. The announcement is newer than the
 // state in discovery, and final for the run of the endpoint that began at started.
-func (c *Catalog) Overlay(isLeaving func(endpoint string, started int64) bool) {
+func (c *Catalog) SetLeavingFunc(isLeaving func(endpoint string, started int64) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.isLeaving, c.topology = isLeaving, nil
 }
 
-// Refresh drops the routing view after an announcement of an endpoint. The next call of Topology computes it again.
-func (c *Catalog) Refresh() {
+// InvalidateTopology drops the routing view after an announcement of an endpoint. The next call of Topology computes it again.
+func (c *Catalog) InvalidateTopology() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.topology = nil
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -131,7 +131,7 @@
 		klog.InfoS("no other box returned the objects that the platform has lost", "err", err)
 		return
 	}
-	f.cfg.Catalog.Merge(lost)
+	f.cfg.Catalog.ApplyLost(lost)
 }
 
 func (f *Feed) list(ctx context.Context, src Source) error {
@@ -147,12 +147,12 @@
 			if page.Revision < f.cfg.Catalog.Revision() && !src.Authoritative() {
 				return errStaleList
 			}
-			if list = f.cfg.Catalog.BeginList(page.Revision); list.Behind {
+			if list = f.cfg.Catalog.BeginList(page.Revision); list.Stale {
 				f.cfg.Scope.Counter("feed_behind").Inc(1)
 				klog.InfoS("list is older than the catalog of this box; no object is reverted")
 			}
 		}
-		list.Page(page.Objects)
+		list.ApplyPage(page.Objects)
 		if after = page.Next; after == "" {
 			break
 		}
--- a/internal/follow/era.go
+++ b/internal/follow/era.go
@@ -33,7 +33,7 @@
 
 // Restored returns the state of the last restore of the store.
 func (f *Follower) Restored() Restored {
-	withheld := f.cfg.Catalog.Withheld()
+	withheld := f.cfg.Catalog.WithheldCount()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r := f.lastRestore
@@ -64,7 +64,7 @@
 	if !isNew {
 		return false
 	}
-	f.cfg.Catalog.Withhold(kind)
+	f.cfg.Catalog.BeginWithholding(kind)
 	f.cfg.Scope.Counter("store_eras_crossed").Inc(1)
 	f.cfg.Scope.Gauge("store_era").Update(float64(revision.Era()))
 	klog.InfoS("store restored from an older copy; new era begins",
@@ -97,7 +97,7 @@
 	if !due {
 		return
 	}
-	all := f.cfg.Catalog.Admit(kind)
+	all := f.cfg.Catalog.ReleaseWithheld(kind)
 	if len(all) == 0 {
 		return
 	}
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -341,7 +341,7 @@
 		f.reportSkipped(k.Name, ch.Revision, f.cfg.Catalog.Apply(ch))
 	}
 	for _, name := range k.reappeared {
-		f.cfg.Catalog.Touch(k.Name, name)
+		f.cfg.Catalog.MarkChanged(k.Name, name)
 	}
 	k.reappeared = nil
 	f.mu.Lock()
--- a/internal/follow/relay_receive.go
+++ b/internal/follow/relay_receive.go
@@ -216,7 +216,7 @@
 		}
 		switch {
 		case !o.Deleted:
-			f.cfg.Catalog.Touch(ch.Kind, o.Name)
+			f.cfg.Catalog.MarkChanged(ch.Kind, o.Name)
 		case !slices.ContainsFunc(f.lateChanges, isSame):
 			f.lateChanges = append(f.lateChanges, lateChange{o, now})
 		}
--- a/internal/follow/relay_send.go
+++ b/internal/follow/relay_send.go
@@ -166,7 +166,7 @@
 	if !k.Relayed || f.currentRevision(k.Name) <= known {
 		return 0
 	}
-	return f.cfg.Catalog.KindSize(k.Name, f.relayFrom(k.Name, known))
+	return f.cfg.Catalog.KindChangesSize(k.Name, f.relayFrom(k.Name, known))
 }
 
 // relayFrom returns the position after which changes of a kind are sent to a box that knows the kind up to a position. Zero
@@ -188,6 +188,6 @@
 	if current <= known {
 		return objects.KindChanges{Kind: k.Name, Revision: known, Objects: late}, len(late) > 0
 	}
-	changed, complete := f.cfg.Catalog.KindSince(k.Name, f.relayFrom(k.Name, known))
+	changed, complete := f.cfg.Catalog.KindChangesSince(k.Name, f.relayFrom(k.Name, known))
 	return objects.KindChanges{Kind: k.Name, Revision: current, Full: !complete, Objects: append(changed, late...)}, true
 }
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -157,7 +157,7 @@
 // that field, waits for this call.
 func (n *Node) awaitNewerCoordinator(ctx context.Context) {
 	for {
-		changed := n.cfg.Catalog.Changed()
+		changed := n.cfg.Catalog.NextChange()
 		if n.hasNewerCoordinator() {
 			return
 		}
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -350,7 +350,7 @@
 	if err != nil {
 		return objects.Changes{}, err
 	}
-	return to.catalog.All(), nil
+	return to.catalog.Snapshot(), nil
 }
 
 func (s peerSource) Authoritative() bool { return false }
@@ -362,8 +362,8 @@
 		if err != nil {
 			return objects.Changes{}, err
 		}
-		changed := to.catalog.Changed()
-		ch, err := to.catalog.Since(from)
+		changed := to.catalog.NextChange()
+		ch, err := to.catalog.ChangesSince(from)
 		if err != nil || ch.Revision > from {
 			return ch, err
 		}
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -22,7 +22,7 @@
 	defer next.Stop()
 	defer func() { n.recordStall(due) }()
 	for {
-		changed := n.cfg.Catalog.Changed()
+		changed := n.cfg.Catalog.NextChange()
 		if n.hasNewerCoordinator() || n.hasNewLease() {
 			return
 		}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -117,7 +117,7 @@
 func (o *Operator) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	httpx.WriteJSON(w, http.StatusOK, Status{
 		Box: o.cfg.Box, Ready: o.cfg.Ready(), Revision: o.cfg.Catalog.Revision(), InFlight: o.cfg.InFlight(),
-		Member: o.cfg.Membership(), Engines: o.cfg.Engines(), SkippedObjects: o.cfg.Catalog.Skipped(),
+		Member: o.cfg.Membership(), Engines: o.cfg.Engines(), SkippedObjects: o.cfg.Catalog.UnreadableObjects(),
 		RateLimits: o.cfg.Limits(clock.Now()), LeavingEndpoints: o.cfg.Notices.Left(clock.Now()), PausedEndpoints: o.cfg.Notices.Rests(clock.Now()), LastRestore: o.lastRestore(),
 	})
 }
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -196,7 +196,7 @@
 	rc := http.NewResponseController(w)
 	seen := map[string]objects.Position{}
 	for {
-		changed := o.cfg.Catalog.Changed()
+		changed := o.cfg.Catalog.NextChange()
 		if writeChangedItems(enc, o.cfg.Catalog.Resources(kind, r.FormValue("prefix")), seen) != nil || rc.Flush() != nil {
 			return
 		}
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -62,7 +62,7 @@
 	mux.HandleFunc("POST "+PathList, h.handleList)
 	mux.HandleFunc("POST "+PathChanges, h.handleChanges)
 	mux.HandleFunc("POST "+PathLostObjects, func(w http.ResponseWriter, _ *http.Request) {
-		httpx.WriteJSON(w, http.StatusOK, h.cfg.Catalog.Unstored(maxLostObjects))
+		httpx.WriteJSON(w, http.StatusOK, h.cfg.Catalog.LostByStore(maxLostObjects))
 	})
 	mux.HandleFunc("POST "+PathPermit, h.handlePermit)
 	mux.HandleFunc("POST "+PathRelease, h.handleRelease)
@@ -103,7 +103,7 @@
 }
 
 func (h *Handler) handleList(w http.ResponseWriter, _ *http.Request) {
-	httpx.WriteJSON(w, http.StatusOK, h.cfg.Catalog.All())
+	httpx.WriteJSON(w, http.StatusOK, h.cfg.Catalog.Snapshot())
 }
 
 func (h *Handler) handleChanges(w http.ResponseWriter, r *http.Request) {
@@ -116,8 +116,8 @@
 	timeout := time.NewTimer(min(wait, maxClientWait))
 	defer timeout.Stop()
 	for {
-		changed := h.cfg.Catalog.Changed()
-		changes, err := h.cfg.Catalog.Since(objects.Position(from))
+		changed := h.cfg.Catalog.NextChange()
+		changes, err := h.cfg.Catalog.ChangesSince(objects.Position(from))
 		if errors.Is(err, objects.ErrGone) {
 			http.Error(w, err.Error(), http.StatusGone)
 			return
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -55,7 +55,7 @@
 		if !r.cfg.Active() {
 			continue
 		}
-		for _, o := range r.cfg.Catalog.Unstored(batchSize) {
+		for _, o := range r.cfg.Catalog.LostByStore(batchSize) {
 			r.write(ctx, o)
 		}
 	}
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -53,7 +53,7 @@
 	b.feed = feed.New(feed.Config{
 		Catalog: b.catalog, Scope: tally.NoopScope, Pick: func() feed.Source { return r.platform },
 		Lost: func(context.Context) ([]objects.Object, error) {
-			return peerCatalog.Unstored(100), nil
+			return peerCatalog.LostByStore(100), nil
 		},
 	})
 	b.operator = operator.New(operator.Config{API: r.platform, Catalog: b.catalog, Scope: tally.NoopScope, Metrics: http.NotFoundHandler()}).Handler()
