--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -102,8 +102,8 @@
 	})
 	peers := peer.NewClient(peer.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}})
 	b.feed = feed.New(feed.Config{
-		Catalog: b.catalog, Scope: b.metrics.Scope, Pick: func() feed.Source { return b.source(api, peers) },
-		Lost: func(ctx context.Context) ([]objects.Object, error) { return b.lost(ctx, api, peers) },
+		Catalog: b.catalog, Scope: b.metrics.Scope, PickSource: func() feed.Source { return b.source(api, peers) },
+		LostObjects: func(ctx context.Context) ([]objects.Object, error) { return b.lost(ctx, api, peers) },
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
 	b.rates = ratelimit.NewBook(ratelimit.BookConfig{Boxes: func() int { return len(b.catalog.Topology().Boxes) }, Scope: b.metrics.Scope})
--- a/internal/fakeplatform/handler.go
+++ b/internal/fakeplatform/handler.go
@@ -48,8 +48,8 @@
 }
 
 func (s *Store) handlePut(w http.ResponseWriter, r *http.Request) {
-	b, err := io.ReadAll(io.LimitReader(r.Body, objects.MaxValue+1))
-	if err != nil || len(b) > objects.MaxValue {
+	b, err := io.ReadAll(io.LimitReader(r.Body, objects.MaxValueBytes+1))
+	if err != nil || len(b) > objects.MaxValueBytes {
 		http.Error(w, "value too large", http.StatusRequestEntityTooLarge)
 		return
 	}
@@ -104,7 +104,7 @@
 		http.Error(w, err.Error(), http.StatusNotFound)
 	case errors.Is(err, objects.ErrGone):
 		http.Error(w, err.Error(), http.StatusGone)
-	case errors.Is(err, objects.ErrAnswerLost):
+	case errors.Is(err, objects.ErrOutcomeUnknown):
 		// The connection breaks off, as when the answer is lost on the way.
 		panic(http.ErrAbortHandler)
 	default:
--- a/internal/fakeplatform/store.go
+++ b/internal/fakeplatform/store.go
@@ -105,9 +105,9 @@
 	s.mu.Lock()
 	era := s.revision.Era() + 1
 	s.mu.Unlock()
-	next := objects.Changes{Revision: objects.At(era, c.Revision.Revision())}
+	next := objects.Changes{Revision: objects.NewPosition(era, c.Revision.Revision())}
 	for _, o := range c.Objects {
-		o.Version = objects.At(era, o.Version.Revision())
+		o.Version = objects.NewPosition(era, o.Version.Revision())
 		next.Objects = append(next.Objects, o)
 	}
 	s.Restore(next)
@@ -122,7 +122,7 @@
 	defer s.mu.Unlock()
 	o, ok := s.objects[key{kind, name}]
 	if !ok {
-		return objects.Object{Version: objects.At(s.revision.Era(), 0)}, objects.ErrNotFound
+		return objects.Object{Version: objects.NewPosition(s.revision.Era(), 0)}, objects.ErrNotFound
 	}
 	return o, nil
 }
@@ -167,8 +167,8 @@
 	return c
 }
 
-// Authoritative implements feed.Source.
-func (s *Store) Authoritative() bool { return true }
+// IsAuthoritative implements feed.Source.
+func (s *Store) IsAuthoritative() bool { return true }
 
 // Watch implements objects.API.
 func (s *Store) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
@@ -229,7 +229,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{o.Kind, o.Name}
-	if have := s.objects[k].Version; have != expect && (have.Exists() || expect.Exists()) {
+	if have := s.objects[k].Version; have != expect && (have.HasRevision() || expect.HasRevision()) {
 		return 0, objects.ErrConflict
 	}
 	s.revision++
@@ -247,7 +247,7 @@
 	s.wake()
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
-		return 0, objects.ErrAnswerLost
+		return 0, objects.ErrOutcomeUnknown
 	}
 	return o.Version, nil
 }
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -31,9 +31,9 @@
 	List(ctx context.Context, kinds []string, after string) (objects.Changes, error)
 	// Watch returns the changes of the given kinds after from. If there are none yet, it waits for them, at most for wait.
 	Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error)
-	// Authoritative reports whether a list older than the catalog means that the platform was restored from a backup. It is false
+	// IsAuthoritative reports whether a list older than the catalog means that the platform was restored from a backup. It is false
 	// for another box, which may only lag behind.
-	Authoritative() bool
+	IsAuthoritative() bool
 }
 
 var errStaleList = errors.New("feed: list of the other box is older than the catalog of this box")
@@ -41,11 +41,11 @@
 // Config configures a Feed.
 type Config struct {
 	Catalog *catalog.Catalog
-	// Pick returns the source for the next call.
-	Pick func() Source
-	// Lost returns the objects that other boxes hold and that the platform has lost. They are merged after the first list. It may
+	// PickSource returns the source for the next call.
+	PickSource func() Source
+	// LostObjects returns the objects that other boxes hold and that the platform has lost. They are merged after the first list. It may
 	// be nil in tests.
-	Lost func(ctx context.Context) ([]objects.Object, error)
+	LostObjects func(ctx context.Context) ([]objects.Object, error)
 	// Scope receives the counters of calls and failures.
 	Scope tally.Scope
 }
@@ -103,7 +103,7 @@
 
 // poll makes one update: it lists until a full list has been received and watches from then on.
 func (f *Feed) poll(ctx context.Context) error {
-	src := f.cfg.Pick()
+	src := f.cfg.PickSource()
 	if !f.IsReady() {
 		return f.list(ctx, src)
 	}
@@ -122,10 +122,10 @@
 // mergeLostObjects merges the objects that the platform has lost into the catalog before this box serves for the first time. If
 // the coordinator does not answer, the box starts without them.
 func (f *Feed) mergeLostObjects(ctx context.Context) {
-	if f.cfg.Lost == nil || f.IsReady() {
+	if f.cfg.LostObjects == nil || f.IsReady() {
 		return
 	}
-	lost, err := f.cfg.Lost(ctx)
+	lost, err := f.cfg.LostObjects(ctx)
 	if err != nil {
 		f.cfg.Scope.Counter("feed_lost_failures").Inc(1)
 		klog.InfoS("no other box returned the objects that the platform has lost", "err", err)
@@ -144,7 +144,7 @@
 			return err
 		}
 		if list == nil {
-			if page.Revision < f.cfg.Catalog.Revision() && !src.Authoritative() {
+			if page.Revision < f.cfg.Catalog.Revision() && !src.IsAuthoritative() {
 				return errStaleList
 			}
 			if list = f.cfg.Catalog.BeginList(page.Revision); list.Stale {
--- a/internal/follow/calls_test.go
+++ b/internal/follow/calls_test.go
@@ -98,8 +98,8 @@
 	runCountingFollower(t, func(c *qt.C, s *countingSource, f *follow.Follower, cat *catalog.Catalog) {
 		for range 20 {
 			f.Take([]objects.KindChanges{
-				{Kind: string(resource.KindEndpoint), Revision: s.newestRevision(), Full: true, Objects: s.objectsOf(resource.KindEndpoint)},
-				{Kind: string(resource.KindRouting), Revision: s.newestRevision(), Full: true, Objects: s.objectsOf(resource.KindRouting)},
+				{Kind: string(resource.KindEndpoint), Revision: s.newestRevision(), IsFullList: true, Objects: s.objectsOf(resource.KindEndpoint)},
+				{Kind: string(resource.KindRouting), Revision: s.newestRevision(), IsFullList: true, Objects: s.objectsOf(resource.KindRouting)},
 			}, 0)
 			time.Sleep(heartbeatInterval)
 		}
--- a/internal/follow/relay_receive.go
+++ b/internal/follow/relay_receive.go
@@ -60,7 +60,7 @@
 	f.requestFullAfterGap(clock.Now())
 	var kindsToCall []string
 	for _, ch := range changes {
-		if !ch.Ask {
+		if !ch.MustRefetch {
 			f.applyKindChanges(ch)
 			continue
 		}
@@ -167,7 +167,7 @@
 		}
 	}
 	for name := range inCatalog {
-		if ch.Full && !keepMissing && !listed[name] {
+		if ch.IsFullList && !keepMissing && !listed[name] {
 			all = append(all, objects.Object{Kind: ch.Kind, Name: name, Version: ch.Revision, Deleted: true})
 		}
 	}
@@ -192,8 +192,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	k := f.statusOf(ch.Kind)
-	k.knownRevision, k.needsFull = max(k.knownRevision, ch.Revision), k.needsFull && !ch.Full
-	if isNewEra && ch.Full {
+	k.knownRevision, k.needsFull = max(k.knownRevision, ch.Revision), k.needsFull && !ch.IsFullList
+	if isNewEra && ch.IsFullList {
 		k.needsFullAt = clock.Now().Add(f.cfg.Grace)
 	}
 }
@@ -203,7 +203,7 @@
 // reappeared there and are unchanged here.
 func (f *Follower) recordLateReceived(ch objects.KindChanges) {
 	isExpiring := slices.ContainsFunc(f.cfg.Kinds, func(k Kind) bool { return k.Name == ch.Kind && k.Lapses })
-	if !isExpiring || ch.Full {
+	if !isExpiring || ch.IsFullList {
 		return
 	}
 	now := clock.Now()
--- a/internal/follow/relay_send.go
+++ b/internal/follow/relay_send.go
@@ -119,7 +119,7 @@
 			// Such a kind needs calls for a while, not just one.
 			return changes, max(age, forceCallsAge)
 		}
-		callRequests = append(callRequests, objects.KindChanges{Kind: k.Name, Ask: true})
+		callRequests = append(callRequests, objects.KindChanges{Kind: k.Name, MustRefetch: true})
 	}
 	return append(changes, callRequests...), age
 }
@@ -189,5 +189,5 @@
 		return objects.KindChanges{Kind: k.Name, Revision: known, Objects: late}, len(late) > 0
 	}
 	changed, complete := f.cfg.Catalog.KindChangesSince(k.Name, f.relayFrom(k.Name, known))
-	return objects.KindChanges{Kind: k.Name, Revision: current, Full: !complete, Objects: append(changed, late...)}, true
+	return objects.KindChanges{Kind: k.Name, Revision: current, IsFullList: !complete, Objects: append(changed, late...)}, true
 }
--- a/internal/follow/start_test.go
+++ b/internal/follow/start_test.go
@@ -95,7 +95,7 @@
 				before := source.calls.Load()
 				var changes []objects.KindChanges
 				for _, kind := range test.callKinds {
-					changes = append(changes, objects.KindChanges{Kind: kind, Ask: true})
+					changes = append(changes, objects.KindChanges{Kind: kind, MustRefetch: true})
 				}
 				f.Take(changes, 0)
 				for range 20 {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -217,7 +217,7 @@
 	}
 	sentAt := clock.Now()
 	version, err := l.cfg.API.Put(ctx, Kind, l.cfg.Name, l.version, value)
-	if errors.Is(err, objects.ErrAnswerLost) {
+	if errors.Is(err, objects.ErrOutcomeUnknown) {
 		version, err = l.confirmWrite(ctx, r.Token)
 	}
 	if errors.Is(err, objects.ErrConflict) {
--- a/internal/lease/unconfirmed_test.go
+++ b/internal/lease/unconfirmed_test.go
@@ -22,7 +22,7 @@
 func (s *lossyStore) Put(ctx context.Context, kind, name string, expect objects.Position, value json.RawMessage) (objects.Position, error) {
 	v, err := s.API.Put(ctx, kind, name, expect, value)
 	if s.failing && err == nil {
-		return 0, objects.ErrAnswerLost
+		return 0, objects.ErrOutcomeUnknown
 	}
 	return v, err
 }
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -140,7 +140,7 @@
 			return fmt.Sprintf("%s-%d-%d", name, time.Now().UnixNano(), tokens)
 		},
 	})
-	n.feed = feed.New(feed.Config{Catalog: n.catalog, Scope: tally.NoopScope, Pick: n.pickSource})
+	n.feed = feed.New(feed.Config{Catalog: n.catalog, Scope: tally.NoopScope, PickSource: n.pickSource})
 	ctx, cancel := context.WithCancel(cl.c.Context())
 	n.stop = cancel
 	cl.mu.Lock()
@@ -353,7 +353,7 @@
 	return to.catalog.Snapshot(), nil
 }
 
-func (s peerSource) Authoritative() bool { return false }
+func (s peerSource) IsAuthoritative() bool { return false }
 
 func (s peerSource) Watch(ctx context.Context, _ []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	timeout := time.After(wait)
@@ -473,7 +473,7 @@
 	return n.cluster.platform.List(ctx, kinds, after)
 }
 
-func (n *node) Authoritative() bool { return true }
+func (n *node) IsAuthoritative() bool { return true }
 
 func (n *node) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	if n.isPlatformDisconnected() {
@@ -490,7 +490,7 @@
 	time.Sleep(n.cluster.answerTime)
 	n.waitWhileFrozen()
 	if n.isDroppingAnswers() && err == nil {
-		return 0, objects.ErrAnswerLost
+		return 0, objects.ErrOutcomeUnknown
 	}
 	return v, err
 }
--- a/internal/member/coordinate.go
+++ b/internal/member/coordinate.go
@@ -104,7 +104,7 @@
 	}
 	epoch := n.lease.Record().Epoch
 	_, _, known := n.cfg.Catalog.Map(n.cfg.Cell)
-	restored := lease.EraOf(lastMap.Lease) < lease.EraOf(epoch) && (version.Exists() || known)
+	restored := lease.EraOf(lastMap.Lease) < lease.EraOf(epoch) && (version.HasRevision() || known)
 	n.mu.Lock()
 	n.history.Reset()
 	if !restored {
@@ -208,14 +208,14 @@
 		return nil
 	}
 	// After a change of the store's era the latest generations may be lost. Generations therefore start above all those of the earlier era.
-	firstGeneration := int64(objects.At(lease.EraOf(m.Lease), 0))
+	firstGeneration := int64(objects.NewPosition(lease.EraOf(m.Lease), 0))
 	m.Generation = max(firstGeneration, n.publishedMap.Generation, n.cfg.Catalog.Generation(coordinator.MapKind, n.cfg.Cell)) + 1
 	value, err := json.Marshal(m)
 	if err != nil {
 		return err
 	}
 	version, err := n.cfg.API.Put(ctx, coordinator.MapKind, n.cfg.Cell, n.publishedVersion, value)
-	if errors.Is(err, objects.ErrAnswerLost) || errors.Is(err, objects.ErrConflict) {
+	if errors.Is(err, objects.ErrOutcomeUnknown) || errors.Is(err, objects.ErrConflict) {
 		m, version, err = n.resolveMapWrite(ctx)
 	}
 	if errors.Is(err, objects.ErrConflict) {
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -38,7 +38,7 @@
 		return
 	}
 	if !n.cfg.Spread.MayTell(delta.Size()) {
-		news.Changes = append(news.Changes, objects.KindChanges{Kind: coordinator.MapKind, Ask: true})
+		news.Changes = append(news.Changes, objects.KindChanges{Kind: coordinator.MapKind, MustRefetch: true})
 		return
 	}
 	delta.Version = n.historyVersion
--- a/internal/member/spread_test.go
+++ b/internal/member/spread_test.go
@@ -69,7 +69,7 @@
 			cl.c.Assert(err, qt.IsNil, comment)
 			cl.c.Check(reply.Map != nil, qt.Equals, test.wantMap, comment)
 			cl.c.Check(reply.Map != nil && reply.Map.From == 0, qt.Equals, test.wantWhole, comment)
-			ask := slices.ContainsFunc(reply.Changes, func(ch objects.KindChanges) bool { return ch.Kind == coordinator.MapKind && ch.Ask })
+			ask := slices.ContainsFunc(reply.Changes, func(ch objects.KindChanges) bool { return ch.Kind == coordinator.MapKind && ch.MustRefetch })
 			cl.c.Check(ask, qt.Equals, test.wantAsk, comment)
 		}
 	})
--- a/internal/objects/client.go
+++ b/internal/objects/client.go
@@ -58,8 +58,8 @@
 	return ch, err
 }
 
-// Authoritative returns true: the objects come from the platform itself and not from another box.
-func (c *Client) Authoritative() bool { return true }
+// IsAuthoritative returns true: the objects come from the platform itself and not from another box.
+func (c *Client) IsAuthoritative() bool { return true }
 
 // Watch implements API.
 func (c *Client) Watch(ctx context.Context, kinds []string, from Position, wait time.Duration) (Changes, error) {
@@ -107,7 +107,7 @@
 	traced := httpx.TraceSent(req)
 	resp, err := c.http.Do(traced.Request)
 	if err != nil {
-		return Lost(method, traced.Started(), err)
+		return NewTransportError(method, traced.Started(), err)
 	}
 	defer httpx.Drain(resp.Body)
 	if err := StatusError(resp.StatusCode); err != nil {
@@ -118,18 +118,18 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
-		return Lost(method, true, err)
+		return NewTransportError(method, true, err)
 	}
 	if err := json.Unmarshal(b, result); err != nil {
-		return Lost(method, true, err)
+		return NewTransportError(method, true, err)
 	}
 	return nil
 }
 
-// Lost returns the error for a call without a usable response: ErrAnswerLost for a write that was sent, ErrUnavailable for any other call.
-func Lost(method string, sent bool, err error) error {
+// NewTransportError returns the error for a call without a usable response: ErrAnswerLost for a write that was sent, ErrUnavailable for any other call.
+func NewTransportError(method string, sent bool, err error) error {
 	if method != http.MethodGet && sent {
-		return eris.Wrap(ErrAnswerLost, err.Error())
+		return eris.Wrap(ErrOutcomeUnknown, err.Error())
 	}
 	return eris.Wrap(ErrUnavailable, err.Error())
 }
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -9,8 +9,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxValue is the maximum size of an object's value, in bytes.
-const MaxValue = 1 << 20
+// MaxValueBytes is the maximum size of an object's value, in bytes.
+const MaxValueBytes = 1 << 20
 
 // Errors that callers distinguish.
 var (
@@ -22,8 +22,8 @@
 	ErrGone = eris.New("objects: requested changes are no longer kept")
 	// ErrUnavailable means that the platform refused the call or could not be reached. A write took no effect.
 	ErrUnavailable = eris.New("objects: platform unavailable")
-	// ErrAnswerLost means that a write was sent without a usable response. The write may or may not have taken effect.
-	ErrAnswerLost = eris.New("objects: no usable response, write may have taken effect")
+	// ErrOutcomeUnknown means that a write was sent without a usable response. The write may or may not have taken effect.
+	ErrOutcomeUnknown = eris.New("objects: no usable response, write may have taken effect")
 )
 
 // Object is an object in the platform's store.
@@ -52,11 +52,11 @@
 	Kind string `json:"kind"`
 	// Revision is the position up to which the sender has all changes of the kind.
 	Revision Position `json:"revision"`
-	// Full is set if Objects contains all objects of the kind.
-	Full    bool     `json:"full,omitempty"`
-	Objects []Object `json:"objects,omitempty"`
-	// Ask is set, without Objects, if the changes of the kind are too large to be relayed. The receiver must request them from the store.
-	Ask bool `json:"ask,omitempty"`
+	// IsFullList is set if Objects contains all objects of the kind.
+	IsFullList bool     `json:"full,omitempty"`
+	Objects    []Object `json:"objects,omitempty"`
+	// MustRefetch is set, without Objects, if the changes of the kind are too large to be relayed. The receiver must request them from the store.
+	MustRefetch bool `json:"ask,omitempty"`
 }
 
 // Confirmation holds the age of a box's data of one kind. Boxes send it to each other.
--- a/internal/objects/position.go
+++ b/internal/objects/position.go
@@ -16,8 +16,8 @@
 // Position is before all others. Only clients of the store use revisions without an era.
 type Position int64
 
-// At returns the position of a revision in an era.
-func At(era, revision int64) Position { return Position(era<<eraShift | revision) }
+// NewPosition returns the position of a revision in an era.
+func NewPosition(era, revision int64) Position { return Position(era<<eraShift | revision) }
 
 // Era returns the era. It is zero for a store that reports no eras.
 func (p Position) Era() int64 { return int64(p) >> eraShift }
@@ -25,9 +25,9 @@
 // Revision returns the revision within the era.
 func (p Position) Revision() int64 { return int64(p) & (1<<eraShift - 1) }
 
-// Exists reports whether the position is the position of a change. A position without a revision stands for an object that does not exist
+// HasRevision reports whether the position is the position of a change. A position without a revision stands for an object that does not exist
 // in the era.
-func (p Position) Exists() bool { return p.Revision() != 0 }
+func (p Position) HasRevision() bool { return p.Revision() != 0 }
 
 // String returns the position as "era/revision", or as the revision alone if the era is zero.
 func (p Position) String() string {
@@ -51,5 +51,5 @@
 	if err != nil {
 		return 0, eris.Wrapf(err, "objects: invalid position %q", text)
 	}
-	return At(int64(era), int64(revision)), nil
+	return NewPosition(int64(era), int64(revision)), nil
 }
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -65,7 +65,7 @@
 // resource does not exist yet. Without expect it overwrites any version. With ?dry_run=true it writes nothing.
 func (o *Operator) handlePut(w http.ResponseWriter, r *http.Request) {
 	var res resource.Resource
-	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, objects.MaxValue)).Decode(&res)
+	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, objects.MaxValueBytes)).Decode(&res)
 	if err == nil {
 		err = res.Check()
 	}
@@ -107,7 +107,7 @@
 
 // matchesExpect reports whether the current object has the version that a write expects.
 func matchesExpect(expect objects.Position, current objects.Object) bool {
-	return expect == anyVersion || expect == current.Version || expect == 0 && !current.Version.Exists()
+	return expect == anyVersion || expect == current.Version || expect == 0 && !current.Version.HasRevision()
 }
 
 func (o *Operator) putResource(ctx context.Context, res resource.Resource, expect objects.Position, dryRun bool) (WriteResult, *result.Error) {
@@ -129,14 +129,14 @@
 		return WriteResult{}, result.New(result.InvalidResource, "%v", err)
 	}
 	outcome := Changed
-	if !current.Version.Exists() {
+	if !current.Version.HasRevision() {
 		outcome = Created
 	}
 	if dryRun {
 		return WriteResult{outcome, current.Version}, nil
 	}
 	version, err := o.cfg.API.Put(ctx, string(res.Kind), res.Name, current.Version, value)
-	if errors.Is(err, objects.ErrAnswerLost) {
+	if errors.Is(err, objects.ErrOutcomeUnknown) {
 		version, err = o.confirmPut(ctx, res, current.Version, value)
 	}
 	if err != nil {
@@ -150,7 +150,7 @@
 func (o *Operator) confirmPut(ctx context.Context, res resource.Resource, before objects.Position, value []byte) (objects.Position, error) {
 	current, err := o.cfg.API.Get(ctx, string(res.Kind), res.Name)
 	if err != nil || current.Version == before {
-		return 0, objects.ErrAnswerLost
+		return 0, objects.ErrOutcomeUnknown
 	}
 	if !bytes.Equal(current.Value, value) {
 		return 0, objects.ErrConflict
@@ -227,7 +227,7 @@
 		return result.New(result.Conflict, "the resource was changed by a concurrent write")
 	case errors.Is(err, objects.ErrNotFound):
 		return result.New(result.NoSuchResource, "")
-	case errors.Is(err, objects.ErrAnswerLost):
+	case errors.Is(err, objects.ErrOutcomeUnknown):
 		return result.New(result.AnswerUnknown, "no response to the write; read the resource to check whether it took effect")
 	default:
 		return result.New(result.PlatformUnavailable, "%v", err)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -128,8 +128,8 @@
 	return list, err
 }
 
-// Authoritative implements feed.Source. It returns false, since the data of another box may be outdated.
-func (s source) Authoritative() bool { return false }
+// IsAuthoritative implements feed.Source. It returns false, since the data of another box may be outdated.
+func (s source) IsAuthoritative() bool { return false }
 
 // Watch implements feed.Source.
 func (s source) Watch(ctx context.Context, _ []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -51,8 +51,8 @@
 		peerCatalog = r.boxes[0].catalog
 	}
 	b.feed = feed.New(feed.Config{
-		Catalog: b.catalog, Scope: tally.NoopScope, Pick: func() feed.Source { return r.platform },
-		Lost: func(context.Context) ([]objects.Object, error) {
+		Catalog: b.catalog, Scope: tally.NoopScope, PickSource: func() feed.Source { return r.platform },
+		LostObjects: func(context.Context) ([]objects.Object, error) {
 			return peerCatalog.LostByStore(100), nil
 		},
 	})
