--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -29,15 +29,15 @@
 // Quota limits the usage of a customer over all boxes together.
 type Quota struct {
 	Unit Unit `json:"unit,omitempty"`
-	// PlainTokens is the cost of a request that gives no token count, if Unit is UnitTokens.
-	PlainTokens float64 `json:"plain_tokens,omitempty"`
+	// DefaultTokens is the cost of a request that gives no token count, if Unit is UnitTokens.
+	DefaultTokens float64 `json:"plain_tokens,omitempty"`
 	// Rate is in units per second. Burst is how many units may be used at once beyond the rate. If Rate is zero, usage is not limited.
 	Rate  float64 `json:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
 }
 
-// Limited reports whether the quota limits usage.
-func (q Quota) Limited() bool { return q.Rate > 0 }
+// IsLimited reports whether the quota limits usage.
+func (q Quota) IsLimited() bool { return q.Rate > 0 }
 
 // Cost returns the cost of a request, in the quota's unit. hasTokenCount is true if the request gives its token count.
 func (q Quota) Cost(tokens int, hasTokenCount bool) float64 {
@@ -47,7 +47,7 @@
 	case hasTokenCount:
 		return float64(max(0, tokens))
 	default:
-		return q.PlainTokens
+		return q.DefaultTokens
 	}
 }
 
@@ -55,7 +55,7 @@
 	if q.Unit != "" && q.Unit != UnitRequests && q.Unit != UnitTokens {
 		return fmt.Errorf("unknown unit %q", q.Unit)
 	}
-	return cmp.Or(checkRange("plain_tokens", q.PlainTokens), checkRange("rate", q.Rate), checkRange("burst", q.Burst))
+	return cmp.Or(checkRange("plain_tokens", q.DefaultTokens), checkRange("rate", q.Rate), checkRange("burst", q.Burst))
 }
 
 func checkRange(field string, v float64) error {
--- a/internal/customer/customer_test.go
+++ b/internal/customer/customer_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestCost(t *testing.T) {
-	tokens := customer.Quota{Unit: customer.UnitTokens, PlainTokens: 200, Rate: 1}
+	tokens := customer.Quota{Unit: customer.UnitTokens, DefaultTokens: 200, Rate: 1}
 	for _, tt := range []struct {
 		name          string
 		quota         customer.Quota
@@ -36,11 +36,11 @@
 	c := qt.New(t)
 	urgent := 0
 	table := customer.NewTable([]customer.Customer{
-		{Name: "mill", Keys: []customer.Digest{customer.DigestOf("k1"), customer.DigestOf("k2")}, Priority: &urgent},
-		{Name: "yard", Keys: []customer.Digest{customer.DigestOf("k2"), customer.DigestOf("k3")}},
+		{Name: "mill", Keys: []customer.Digest{customer.NewDigest("k1"), customer.NewDigest("k2")}, Priority: &urgent},
+		{Name: "yard", Keys: []customer.Digest{customer.NewDigest("k2"), customer.NewDigest("k3")}},
 	})
 	for _, tt := range []struct{ key, want string }{{"k1", "mill"}, {"k2", "mill"}, {"k3", "yard"}, {"k4", ""}, {"", ""}, {"K1", ""}} {
-		found, ok := table.ByDigest(customer.DigestOf(tt.key))
+		found, ok := table.ByDigest(customer.NewDigest(tt.key))
 		c.Assert(ok, qt.Equals, tt.want != "", qt.Commentf("%q", tt.key))
 		if ok {
 			c.Check(found.Name, qt.Equals, tt.want, qt.Commentf("%q", tt.key))
@@ -82,7 +82,7 @@
 func TestKeysAreNotEncoded(t *testing.T) {
 	c := qt.New(t)
 	const key = "asnmgkcuyj8pjbvk9m68"
-	b, err := json.Marshal([]customer.Customer{{Name: "mill", Keys: []customer.Digest{customer.DigestOf(key)}}})
+	b, err := json.Marshal([]customer.Customer{{Name: "mill", Keys: []customer.Digest{customer.NewDigest(key)}}})
 	c.Assert(err, qt.IsNil)
 	c.Check(strings.Contains(string(b), key), qt.IsFalse)
 	var decoded []customer.Customer
--- a/internal/customer/digest.go
+++ b/internal/customer/digest.go
@@ -10,12 +10,12 @@
 // Digest is the SHA-256 digest of a key or token. Keys themselves are never stored in the catalog, sent between boxes or logged.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of a key.
-func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
+// NewDigest returns the digest of a key.
+func NewDigest(key string) Digest { return sha256.Sum256([]byte(key)) }
 
 // Matches reports whether key has the digest d. It compares in constant time.
 func (d Digest) Matches(key string) bool {
-	got := DigestOf(key)
+	got := NewDigest(key)
 	return subtle.ConstantTimeCompare(got[:], d[:]) == 1
 }
 
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -78,7 +78,7 @@
 
 // Take takes the units of one request. If the quota is used up, the error is a QuotaSpent with the time after which to retry.
 func (c *Client) Take(ctx context.Context, cust *customer.Customer, units float64) *result.Error {
-	if !cust.Quota.Limited() || units <= 0 {
+	if !cust.Quota.IsLimited() || units <= 0 {
 		return nil
 	}
 	a := c.allowance(cust.Name)
@@ -117,7 +117,7 @@
 
 // GiveBack returns the units of a request that was not run.
 func (c *Client) GiveBack(cust *customer.Customer, units float64) {
-	if cust.Quota.Limited() && units > 0 {
+	if cust.Quota.IsLimited() && units > 0 {
 		c.allowance(cust.Name).giveBack(units)
 	}
 }
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -27,7 +27,7 @@
 	routing := keyedRouting(nil)
 	for i := range 16 {
 		routing.Customers = append(routing.Customers, customer.Customer{
-			Name: fmt.Sprint("customer-", i), Keys: []customer.Digest{customer.DigestOf(fmt.Sprint("key-", i))},
+			Name: fmt.Sprint("customer-", i), Keys: []customer.Digest{customer.NewDigest(fmt.Sprint("key-", i))},
 			Quota: customer.Quota{Unit: customer.UnitTokens, Rate: 1e12, Burst: 1e12},
 		})
 	}
--- a/internal/relay/identify.go
+++ b/internal/relay/identify.go
@@ -56,7 +56,7 @@
 		return nil
 	}
 	if q.head.Key != "" {
-		q.keyDigest = customer.DigestOf(q.head.Key)
+		q.keyDigest = customer.NewDigest(q.head.Key)
 	}
 	return r.checkKey(q, table)
 }
--- a/internal/relay/identify_test.go
+++ b/internal/relay/identify_test.go
@@ -18,7 +18,7 @@
 		{Name: "r", Host: "h", Prefix: "/", Kind: resource.RouteOnce, Attempts: 1, Timeout: resource.Duration(time.Second), Targets: []resource.Target{{Service: "s", Weight: 1}}},
 	}}
 	for key, name := range keys {
-		r.Customers = append(r.Customers, customer.Customer{Name: name, Keys: []customer.Digest{customer.DigestOf(key)}})
+		r.Customers = append(r.Customers, customer.Customer{Name: name, Keys: []customer.Digest{customer.NewDigest(key)}})
 	}
 	return r
 }
