--- a/internal/places/keeper.go
+++ b/internal/places/keeper.go
@@ -85,7 +85,7 @@
 	// serviceTime is the average time that a request takes if it doesn't share a slot. It is zero until a response has shown it.
 	serviceTime time.Duration
 	// retryTurns spreads the retries of refused requests over time.
-	retryTurns turn.Turns
+	retryTurns turn.RetrySchedule
 	// limiter enforces the requests per second that the endpoint reports as its limit. The keeper receives the limit in the Ask
 	// and EndReport messages, so the limit needs no messages of its own. It also applies to boxes that don't know it.
 	limiter ratelimit.Limiter
@@ -117,7 +117,7 @@
 	concurrency := len(c.held) + 1
 	if concurrency > c.slots && !c.isInTime(concurrency, a.Within) {
 		interval := c.serviceTime / time.Duration(c.slots)
-		return Answer{Wait: max(c.serviceTime, c.retryTurns.Take(now, interval, maxWait)), Rate: c.limiter.Word(now)}
+		return Answer{Wait: max(c.serviceTime, c.retryTurns.NextDelay(now, interval, maxWait)), Rate: c.limiter.Word(now)}
 	}
 	if wait, ok := c.limiter.Check(now, ratelimit.Ask{Urgency: a.Urgency, Customer: a.Customer}); !ok {
 		return Answer{Wait: wait, RateLimited: true, Rate: c.limiter.Word(now)}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -49,7 +49,7 @@
 // account contains a customer's bucket, and the retry times that refused requests were given.
 type account struct {
 	bucket
-	turns turn.Turns
+	turns turn.RetrySchedule
 }
 
 // NewLedger returns an empty Ledger.
@@ -68,7 +68,7 @@
 	wait, ok := acct.take(now, q, req.Need)
 	if !ok {
 		ownTime := time.Duration(req.Need / q.Rate * float64(time.Second))
-		return TakeReply{Wait: min(wait+acct.turns.Take(now, ownTime, maxWait), maxWait)}
+		return TakeReply{Wait: min(wait+acct.turns.NextDelay(now, ownTime, maxWait), maxWait)}
 	}
 	if req.Ahead > 0 && acct.level >= req.Ahead {
 		acct.level -= req.Ahead
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -91,7 +91,7 @@
 // retrySchedule spreads the retries of a service's refused requests according to the rates of its endpoints.
 type retrySchedule struct {
 	// turns assigns the waits, one behind the other.
-	turns turn.Turns
+	turns turn.RetrySchedule
 	// rateSum is the number of requests per second that all endpoints together accepted at summedAt.
 	rateSum  float64
 	summedAt time.Time
@@ -256,7 +256,7 @@
 	if schedule.rateSum > 0 {
 		interval = cappedSeconds(float64(max(1, b.cfg.Boxes())) / schedule.rateSum)
 	}
-	if wait := schedule.turns.Take(now, interval, maxWait); wait+interval < maxWait {
+	if wait := schedule.turns.NextDelay(now, interval, maxWait); wait+interval < maxWait {
 		return max(min(earliest, maxWait), time.Millisecond) + wait
 	}
 	// All capacity within maxWait is assigned. A random wait prevents requests that were refused at the same moment from all
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -3,14 +3,14 @@
 
 import "time"
 
-// Turns assigns retry times to callers. The zero value has assigned none.
-type Turns struct {
+// RetrySchedule assigns retry times to callers. The zero value has assigned none.
+type RetrySchedule struct {
 	next time.Time
 }
 
-// Take returns how long the next caller must wait before its retry. Successive callers get retry times that are interval apart, because
+// NextDelay returns how long the next caller must wait before its retry. Successive callers get retry times that are interval apart, because
 // otherwise all callers would retry at the same moment although there is capacity for only one of them. No delay exceeds maxDelay.
-func (t *Turns) Take(now time.Time, interval, maxDelay time.Duration) time.Duration {
+func (t *RetrySchedule) NextDelay(now time.Time, interval, maxDelay time.Duration) time.Duration {
 	if t.next.Before(now) {
 		t.next = now
 	}
