--- a/internal/coordinator/assign.go
+++ b/internal/coordinator/assign.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		if now.Before(s.reservedUntil[name]) {
-			if reserved := s.reservedFor[name]; s.cfg.Reclaim && !s.Collecting(now) && slices.Contains(liveBoxes, reserved.box) &&
+			if reserved := s.reservedFor[name]; s.cfg.Reclaim && !s.IsCollecting(now) && slices.Contains(liveBoxes, reserved.box) &&
 				s.members[reserved.box].Incarnation != reserved.excludedIncarnation {
 				s.setOwner(o, reserved.box)
 				engineCounts[reserved.box]++
--- a/internal/coordinator/batch.go
+++ b/internal/coordinator/batch.go
@@ -32,11 +32,11 @@
 type BatchReply struct {
 	// Answers has one entry for each heartbeat of the batch, in the same order.
 	Answers []Answer `json:"answers"`
-	News    News     `json:"news"`
+	Updates Updates  `json:"news"`
 }
 
-// News contains the changes that a box receives in addition to its grants.
-type News struct {
+// Updates contains the changes that a box receives in addition to its grants.
+type Updates struct {
 	// Changes lists the object changes after the positions in Beat.Known or Batch.Known. Map contains the changes of the cell map.
 	Changes []objects.KindChanges `json:"changes,omitempty"`
 	Map     *Delta                `json:"map,omitempty"`
@@ -46,8 +46,8 @@
 	Confirmed map[string]objects.Confirmation `json:"confirmed,omitempty"`
 }
 
-// Sum returns a checksum of the grants of a box. It is never zero. Unchanged grants are recognized by it and not sent again.
-func Sum(grants []Ownership) uint64 {
+// GrantsChecksum returns a checksum of the grants of a box. It is never zero. Unchanged grants are recognized by it and not sent again.
+func GrantsChecksum(grants []Ownership) uint64 {
 	digest := xxhash.New()
 	for _, g := range grants {
 		for _, field := range []string{g.Engine, g.Owner, strconv.FormatUint(g.Epoch, 10), g.Previous} {
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -22,10 +22,10 @@
 		beats = append(beats, coordinator.Beat{Member: coordinator.Member{
 			Box: fmt.Sprintf("box-%04d", i), Zone: "z", Incarnation: "ABCDEFGHIJKLMNOPQRSTUVWXYZ", Caller: address, Peer: address,
 		}})
-		_ = s.Beat(start, beats[i])
+		_ = s.RecordBeat(start, beats[i])
 	}
 	s.Tick(start, engines)
-	s.Published(start, s.Map())
+	s.SetPublished(start, s.Map())
 	for i := range beats {
 		beats[i].Owned = s.Reply(start, beats[i].Member.Box).Grants
 	}
@@ -46,7 +46,7 @@
 			for b.Loop() {
 				i++
 				beat := beats[i%n]
-				_ = s.Beat(now, beat)
+				_ = s.RecordBeat(now, beat)
 				s.Reply(now, beat.Member.Box)
 			}
 			b.ReportMetric(float64(len(in)), "beat-B")
--- a/internal/coordinator/message.go
+++ b/internal/coordinator/message.go
@@ -119,15 +119,15 @@
 	LeaseVersion objects.Position `json:"lease_version"`
 	// Revision is the configuration revision that the coordinator has.
 	Revision objects.Position `json:"revision"`
-	// Same means that the checksum of the grants equals Beat.GrantsSum. The grants are omitted then.
-	Same bool `json:"same,omitempty"`
+	// GrantsUnchanged means that the checksum of the grants equals Beat.GrantsSum. The grants are omitted then.
+	GrantsUnchanged bool `json:"same,omitempty"`
 	// Unreached is set by an aggregator that could not reach the coordinator. Only News is valid then.
-	Unreached *Unreached `json:"unreached,omitempty"`
-	News
+	Unreached *LeaseStatus `json:"unreached,omitempty"`
+	Updates
 }
 
-// Unreached is an aggregator's last state of the coordinator's lease. The boxes that use the aggregator need not each read the lease.
-type Unreached struct {
+// LeaseStatus is an aggregator's last state of the coordinator's lease. The boxes that use the aggregator need not each read the lease.
+type LeaseStatus struct {
 	Lease   lease.Record     `json:"lease"`
 	Version objects.Position `json:"version"`
 }
--- a/internal/coordinator/restored_test.go
+++ b/internal/coordinator/restored_test.go
@@ -46,27 +46,27 @@
 		c := qt.New(t)
 		s := New(Config{
 			Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: term, LeaseTTL: ttl, OrderGap: orderGap,
-			SilentAfter: 3 * beatInterval, UnheardAfter: 2 * beatInterval, Started: start,
+			SilentAfter: 3 * beatInterval, InheritedSilentAfter: 2 * beatInterval, Started: start,
 			Reclaim: true, Restored: true,
 		}, olderMap)
 		comment := qt.Commentf("%s", test.name)
 		engines := []Engine{{Name: "e"}}
 		tick := func(now time.Time) {
 			for _, b := range test.beats {
-				c.Assert(s.Beat(now, b), qt.IsNil)
+				c.Assert(s.RecordBeat(now, b), qt.IsNil)
 			}
 			s.Tick(now, engines)
 		}
-		c.Check(s.Collecting(start.Add(beatInterval)), qt.IsTrue)
+		c.Check(s.IsCollecting(start.Add(beatInterval)), qt.IsTrue)
 		tick(start.Add(beatInterval))
 		for _, b := range test.beats {
 			c.Check(s.Reply(start.Add(beatInterval), b.Member.Box).Frozen, qt.IsTrue, comment)
 		}
 		now := start.Add(2 * beatInterval)
-		c.Check(s.Collecting(now), qt.IsFalse)
+		c.Check(s.IsCollecting(now), qt.IsFalse)
 		tick(now)
 		m := s.Map()
-		s.Published(now, m)
+		s.SetPublished(now, m)
 		c.Check(m.Owners[0].Owner, qt.Equals, test.owner, comment)
 		if test.keepsGrant {
 			c.Check(m.Owners[0].Epoch <= claim.Epoch, qt.IsTrue, comment)
@@ -98,17 +98,17 @@
 	c := qt.New(t)
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := New(Config{
-		Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: 7 * time.Second, LeaseTTL: 2 * time.Second, UnheardAfter: time.Second,
+		Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: 7 * time.Second, LeaseTTL: 2 * time.Second, InheritedSilentAfter: time.Second,
 		Started: now, Reclaim: true, Restored: true,
 	}, Map{Owners: []Ownership{{Engine: "e", Owner: "a", Epoch: 4}}})
 	engines := []Engine{{Name: "e"}}
 	now = now.Add(time.Second)
 	s.Tick(now, engines)
-	s.Published(now, s.Map())
-	c.Assert(s.Beat(now, Beat{Member: Member{Box: "b", Incarnation: "b1"}, Owned: []Ownership{{Engine: "e", Owner: "b", Epoch: 9}}}), qt.IsNil)
+	s.SetPublished(now, s.Map())
+	c.Assert(s.RecordBeat(now, Beat{Member: Member{Box: "b", Incarnation: "b1"}, Owned: []Ownership{{Engine: "e", Owner: "b", Epoch: 9}}}), qt.IsNil)
 	c.Check(s.Reply(now, "b").Frozen, qt.IsTrue)
 	s.Tick(now, engines)
-	s.Published(now, s.Map())
+	s.SetPublished(now, s.Map())
 	r := s.Reply(now, "b")
 	c.Check(r.Frozen, qt.IsFalse)
 	c.Check(r.Grants, qt.DeepEquals, []Ownership{{Engine: "e", Owner: "b", Epoch: 9}})
--- a/internal/coordinator/sequence_test.go
+++ b/internal/coordinator/sequence_test.go
@@ -43,14 +43,14 @@
 		},
 	} {
 		now := start.Add(test.at)
-		err := s.Beat(now, test.beat)
+		err := s.RecordBeat(now, test.beat)
 		comment := qt.Commentf("%s", test.name)
 		if test.code == result.OK {
 			c.Check(err, qt.IsNil, comment)
 		} else {
 			c.Check(result.From(err, result.OK).Code, qt.Equals, test.code, comment)
 		}
-		c.Check(s.Heard(now, test.beat.Member.Box).Age, qt.Equals, test.age, comment)
+		c.Check(s.LastContact(now, test.beat.Member.Box).Age, qt.Equals, test.age, comment)
 	}
 }
 
@@ -65,16 +65,16 @@
 		Owners: []coordinator.Ownership{{Engine: "engine-1", Owner: "box-a", Epoch: 2, Previous: "box-b"}},
 	})
 	engines := []coordinator.Engine{{Name: "engine-1"}}
-	c.Assert(s.Beat(now.Add(time.Millisecond), coordinator.Beat{
+	c.Assert(s.RecordBeat(now.Add(time.Millisecond), coordinator.Beat{
 		Member: coordinator.Member{Box: "box-b", Incarnation: "1"}, Sequence: 1, Draining: []string{"engine-1"},
 	}), qt.IsNil)
 	for i := range 20 {
 		now = now.Add(400 * time.Millisecond)
-		c.Assert(s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-b", Incarnation: "1"}, Sequence: uint64(i) + 2, Base: 1}), qt.IsNil)
+		c.Assert(s.RecordBeat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-b", Incarnation: "1"}, Sequence: uint64(i) + 2, Base: 1}), qt.IsNil)
 		s.Tick(now, engines)
 		c.Assert(s.Map().Owners[0].Previous, qt.Equals, "box-b", qt.Commentf("after incremental heartbeat %d", i))
 	}
-	c.Assert(s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-b", Incarnation: "1"}, Sequence: 99}), qt.IsNil)
+	c.Assert(s.RecordBeat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-b", Incarnation: "1"}, Sequence: 99}), qt.IsNil)
 	s.Tick(now, engines)
 	c.Check(s.Map().Owners[0].Previous, qt.Equals, "")
 }
@@ -92,12 +92,12 @@
 				engines = append(engines, coordinator.Engine{Name: fmt.Sprintf("engine-%04d", i)})
 			}
 			for i := range boxes {
-				if err := s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: fmt.Sprintf("box-%03d", i), Incarnation: "1"}, Sequence: 1}); err != nil {
+				if err := s.RecordBeat(now, coordinator.Beat{Member: coordinator.Member{Box: fmt.Sprintf("box-%03d", i), Incarnation: "1"}, Sequence: 1}); err != nil {
 					b.Fatal(err)
 				}
 			}
 			s.Tick(now, engines)
-			s.Published(now, s.Map())
+			s.SetPublished(now, s.Map())
 			b.ResetTimer()
 			for i := range b.N {
 				_ = s.Reply(now, fmt.Sprintf("box-%03d", i%boxes))
--- a/internal/coordinator/simulation_test.go
+++ b/internal/coordinator/simulation_test.go
@@ -40,7 +40,7 @@
 
 // sendBeat sends a heartbeat without a sequence number. Such a heartbeat is never rejected.
 func (sim *simulation) sendBeat(box, incarnation string) {
-	_ = sim.state.Beat(sim.now, coordinator.Beat{Member: coordinator.Member{Box: box, Zone: "z", Incarnation: incarnation}})
+	_ = sim.state.RecordBeat(sim.now, coordinator.Beat{Member: coordinator.Member{Box: box, Zone: "z", Incarnation: incarnation}})
 }
 
 func (sim *simulation) tickAfter(after time.Duration) {
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -21,9 +21,9 @@
 	Term time.Duration
 	// SilentAfter is how long a box may send no heartbeat before it is shown as silent. Zero disables this.
 	SilentAfter time.Duration
-	// UnheardAfter replaces SilentAfter for boxes that were taken over from the last coordinator's map and have not sent a heartbeat to this
+	// InheritedSilentAfter replaces SilentAfter for boxes that were taken over from the last coordinator's map and have not sent a heartbeat to this
 	// coordinator yet, as they may have been silent before. It is counted from the first stored map. Zero means SilentAfter.
-	UnheardAfter time.Duration
+	InheritedSilentAfter time.Duration
 	// Drain is how long a silent box may still have requests in flight after its term. It is the time for which the box keeps serving
 	// without a grant, plus the duration of the longest request.
 	Drain time.Duration
@@ -36,8 +36,8 @@
 	// Started is when the lease was acquired. No engine changes its owner within Term after it, as grants of the last coordinator may
 	// still be valid.
 	Started time.Time
-	// Lapsed names the last coordinator if its lease expired. It is empty if the lease was released or belonged to this box.
-	Lapsed string
+	// ExpiredCoordinator names the last coordinator if its lease expired. It is empty if the lease was released or belonged to this box.
+	ExpiredCoordinator string
 	// Restored means that the store was restored from an older copy after the last map was written, or may have lost that map. The engines
 	// and boxes in the stored map may be out of date then, so boxes report which engines they own. An engine that no box claims stays
 	// reserved until all earlier grants have expired. These include grants of a coordinator that has not noticed the restore.
@@ -107,7 +107,7 @@
 	}
 	for _, m := range last.Members {
 		// A box whose lease expired has been silent for the duration of the lease. A box of an older map may no longer exist.
-		m.Silent = m.Silent || m.Box == cfg.Lapsed || cfg.Restored
+		m.Silent = m.Silent || m.Box == cfg.ExpiredCoordinator || cfg.Restored
 		s.members[m.Box] = &member{Member: m, lastSeen: cfg.Started, inherited: true}
 	}
 	for _, o := range last.Owners {
@@ -139,9 +139,9 @@
 	return s.cfg.Started.Add(s.cfg.LeaseTTL + s.cfg.Term + s.cfg.OrderGap)
 }
 
-// Collecting reports whether the coordinator still waits for the boxes' reports of owned engines before it publishes its first map.
-func (s *State) Collecting(now time.Time) bool {
-	return s.cfg.Restored && !s.hasPublished && now.Before(s.cfg.Started.Add(s.cfg.UnheardAfter))
+// IsCollecting reports whether the coordinator still waits for the boxes' reports of owned engines before it publishes its first map.
+func (s *State) IsCollecting(now time.Time) bool {
+	return s.cfg.Restored && !s.hasPublished && now.Before(s.cfg.Started.Add(s.cfg.InheritedSilentAfter))
 }
 
 // adoptOwnership records an ownership from a map or a heartbeat, unless an equal or higher epoch of the engine is already known.
@@ -162,8 +162,8 @@
 	errUnknownBase = result.New(result.UnknownBase, "this coordinator does not have the full heartbeat that this heartbeat is based on")
 )
 
-// Beat records a heartbeat. Reply creates the response once the map that results from the heartbeat is published.
-func (s *State) Beat(now time.Time, b Beat) error {
+// RecordBeat records a heartbeat. Reply creates the response once the map that results from the heartbeat is published.
+func (s *State) RecordBeat(now time.Time, b Beat) error {
 	m := s.members[b.Member.Box]
 	sameProcess := m != nil && m.Incarnation == b.Member.Incarnation
 	if sameProcess && b.Sequence != 0 && b.Sequence <= m.sequence {
@@ -196,26 +196,26 @@
 	return nil
 }
 
-// Heard holds the data by which a coordinator decides whether a box is silent.
-type Heard struct {
+// Contact holds the data by which a coordinator decides whether a box is silent.
+type Contact struct {
 	// Age is the time since the last heartbeat of the box, or since the coordinator took over if there was none.
 	Age time.Duration
 	// Inherited means that the box comes from the last coordinator's map and has sent no heartbeat to this coordinator yet.
 	Inherited bool
 }
 
-// Heard returns the heartbeat age of a box for the log, or the zero value if the box is not a member.
-func (s *State) Heard(now time.Time, box string) Heard {
+// LastContact returns the heartbeat age of a box for the log, or the zero value if the box is not a member.
+func (s *State) LastContact(now time.Time, box string) Contact {
 	m := s.members[box]
 	if m == nil {
-		return Heard{}
+		return Contact{}
 	}
-	return Heard{Age: now.Sub(m.lastSeen), Inherited: m.inherited}
+	return Contact{Age: now.Sub(m.lastSeen), Inherited: m.inherited}
 }
 
-// StoodStill corrects the members' last heartbeat times after this process was suspended for d. It could not receive heartbeats during
+// CorrectForSuspension corrects the members' last heartbeat times after this process was suspended for d. It could not receive heartbeats during
 // that time, so all times are moved forward by d: no box is shown as silent or loses engines because of the suspension.
-func (s *State) StoodStill(now time.Time, d time.Duration) {
+func (s *State) CorrectForSuspension(now time.Time, d time.Duration) {
 	for _, m := range s.members {
 		if m.lastSeen = m.lastSeen.Add(d); m.lastSeen.After(now) {
 			// A heartbeat has arrived since the suspension.
@@ -233,7 +233,7 @@
 	case s.cfg.SilentAfter == 0:
 		return false
 	case m.inherited:
-		return m.Silent || s.hasPublished && now.Sub(s.firstPublishedAt) > cmp.Or(s.cfg.UnheardAfter, s.cfg.SilentAfter)
+		return m.Silent || s.hasPublished && now.Sub(s.firstPublishedAt) > cmp.Or(s.cfg.InheritedSilentAfter, s.cfg.SilentAfter)
 	default:
 		return now.Sub(m.lastSeen) > s.cfg.SilentAfter
 	}
@@ -276,9 +276,9 @@
 	s.freedAt[o.Engine] = now
 }
 
-// Leaving sets the boxes that the platform's box list marks as leaving. The list is delayed, so it is trusted only for boxes that it
+// SetLeavingBoxes sets the boxes that the platform's box list marks as leaving. The list is delayed, so it is trusted only for boxes that it
 // marks as leaving, never for boxes that it marks as live.
-func (s *State) Leaving(boxes []string) {
+func (s *State) SetLeavingBoxes(boxes []string) {
 	s.listedLeaving = slices.Clone(boxes)
 	slices.Sort(s.listedLeaving)
 }
@@ -359,8 +359,8 @@
 	}
 }
 
-// Published records that m is stored. From now on Reply may grant the engines of m to their owners.
-func (s *State) Published(now time.Time, m Map) {
+// SetPublished records that m is stored. From now on Reply may grant the engines of m to their owners.
+func (s *State) SetPublished(now time.Time, m Map) {
 	if !s.hasPublished {
 		s.firstPublishedAt = now
 	}
--- a/internal/coordinator/state_test.go
+++ b/internal/coordinator/state_test.go
@@ -17,7 +17,7 @@
 	s := coordinator.New(coordinator.Config{Cell: "c", Term: 4 * time.Second, Started: now.Add(-time.Minute)}, coordinator.Map{})
 	zoneOf := map[string]string{}
 	sendBeat := func(box string) {
-		_ = s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: box, Zone: zoneOf[box], Incarnation: box}})
+		_ = s.RecordBeat(now, coordinator.Beat{Member: coordinator.Member{Box: box, Zone: zoneOf[box], Incarnation: box}})
 	}
 	for i, zone := range []string{"a", "a", "b", "b"} {
 		box := fmt.Sprintf("box-%d", i)
@@ -58,15 +58,15 @@
 	s := coordinator.New(coordinator.Config{Cell: "c", Term: 4 * time.Second, Started: now.Add(-time.Minute)}, coordinator.Map{})
 	engines := []coordinator.Engine{{Name: "engine-1", Zone: "a"}}
 	beat := coordinator.Beat{Member: coordinator.Member{Box: "box-1", Zone: "a", Incarnation: "i"}}
-	_ = s.Beat(now, beat)
+	_ = s.RecordBeat(now, beat)
 	s.Tick(now, engines)
 	granted := s.Map().Owners[0]
 	beat.Released = []coordinator.Release{{Engine: "engine-1", Epoch: granted.Epoch}}
-	_ = s.Beat(now, beat)
+	_ = s.RecordBeat(now, beat)
 	s.Tick(now, engines)
 	regranted := s.Map().Owners[0]
 	c.Assert(regranted.Epoch, qt.Equals, granted.Epoch+1)
-	_ = s.Beat(now, beat)
+	_ = s.RecordBeat(now, beat)
 	s.Tick(now, engines)
 	c.Check(s.Map().Owners[0], qt.Equals, regranted)
 }
@@ -79,10 +79,10 @@
 	s := coordinator.New(coordinator.Config{Cell: "c", Term: 4 * time.Second, Drain: time.Hour, Started: now.Add(-time.Minute)}, coordinator.Map{})
 	engines := []coordinator.Engine{{Name: "engine-1", Zone: "a"}}
 	oldOwner := coordinator.Beat{Member: coordinator.Member{Box: "box-1", Incarnation: "i"}}
-	_ = s.Beat(now, oldOwner)
+	_ = s.RecordBeat(now, oldOwner)
 	s.Tick(now, engines)
 	granted := s.Map().Owners[0]
-	_ = s.Beat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-2", Incarnation: "j"}})
+	_ = s.RecordBeat(now, coordinator.Beat{Member: coordinator.Member{Box: "box-2", Incarnation: "j"}})
 	oldOwner.Member.Leaving = true
 	oldOwner.Owned = []coordinator.Ownership{granted}
 	oldOwner.Released = []coordinator.Release{{Engine: "engine-1", Epoch: granted.Epoch}}
@@ -99,7 +99,7 @@
 	} {
 		now = now.Add(time.Second)
 		oldOwner.Owned, oldOwner.Draining = step.owned, step.draining
-		_ = s.Beat(now, oldOwner)
+		_ = s.RecordBeat(now, oldOwner)
 		s.Tick(now, engines)
 		c.Check(s.Map().Owners[0].Owner, qt.Equals, "box-2", qt.Commentf(step.name))
 		c.Check(s.Map().Owners[0].Previous, qt.Equals, step.previous, qt.Commentf(step.name))
@@ -127,7 +127,7 @@
 			sim.sendBeat("box-1", "i")
 			sim.tickAfter(0)
 			c.Assert(sim.owner(), qt.Equals, "box-1")
-			_ = sim.state.Beat(sim.now, coordinator.Beat{
+			_ = sim.state.RecordBeat(sim.now, coordinator.Beat{
 				Member:   coordinator.Member{Box: "box-1", Zone: "z", Incarnation: "i", Leaving: tt.incarnation != "i"},
 				Released: []coordinator.Release{{Engine: engineName, Epoch: sim.epoch()}},
 			})
--- a/internal/coordinator/suspension_test.go
+++ b/internal/coordinator/suspension_test.go
@@ -14,7 +14,7 @@
 	start := time.Unix(1_800_000_000, 0)
 	s := New(Config{Cell: "c", Box: "a", Lease: 1, Term: 4 * time.Second, SilentAfter: time.Second, Started: start}, Map{})
 	sendBeat := func(now time.Time, box string, sequence uint64) {
-		c.Assert(s.Beat(now, Beat{Member: Member{Box: box, Incarnation: box}, Sequence: sequence}), qt.IsNil)
+		c.Assert(s.RecordBeat(now, Beat{Member: Member{Box: box, Incarnation: box}, Sequence: sequence}), qt.IsNil)
 	}
 	sendBeat(start, "gone", 1)
 	now := start.Add(2 * time.Second)
@@ -23,7 +23,7 @@
 	const suspension = 10 * time.Second
 	now = now.Add(suspension + 100*time.Millisecond)
 	sendBeat(now, "late", 1)
-	s.StoodStill(now, suspension)
+	s.CorrectForSuspension(now, suspension)
 	s.Tick(now, nil)
 	silent := map[string]bool{}
 	for _, m := range s.Map().Members {
--- a/internal/coordinator/takeover_test.go
+++ b/internal/coordinator/takeover_test.go
@@ -69,7 +69,7 @@
 	sim.sendBeat("lapsed", "j")
 	sim.tickAfter(0)
 	c.Assert(sim.isShown("lapsed"), qt.IsTrue)
-	sim.cfg.Lapsed = "lapsed"
+	sim.cfg.ExpiredCoordinator = "lapsed"
 	sim.takeOver(2400 * time.Millisecond)
 	sim.sendBeat("stays", "i")
 	sim.tickAfter(0)
--- a/internal/follow/narrow_link_test.go
+++ b/internal/follow/narrow_link_test.go
@@ -110,7 +110,7 @@
 		return
 	}
 	changes, age := n.sender.Since(b.Known())
-	reply, err := json.Marshal(coordinator.Reply{News: coordinator.News{Changes: changes, StoreAge: age}})
+	reply, err := json.Marshal(coordinator.Reply{Updates: coordinator.Updates{Changes: changes, StoreAge: age}})
 	if err != nil {
 		panic(err)
 	}
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return coordinator.Reply{}, err
 	}
-	n.addNews(b.Known, b.MapGeneration, &r.News)
+	n.addNews(b.Known, b.MapGeneration, &r.Updates)
 	return r, nil
 }
 
@@ -43,7 +43,7 @@
 		}
 		out.Answers = append(out.Answers, answer)
 	}
-	n.addNews(b.Known, b.MapGeneration, &out.News)
+	n.addNews(b.Known, b.MapGeneration, &out.Updates)
 	return out, nil
 }
 
@@ -57,15 +57,15 @@
 		return coordinator.Reply{}, n.notCoordinatorError()
 	}
 	// Heartbeats are recorded even while the coordinator is frozen. Otherwise boxes would count as silent when the platform is back.
-	if err := n.state.Beat(now, b); err != nil {
+	if err := n.state.RecordBeat(now, b); err != nil {
 		return coordinator.Reply{}, err
 	}
 	r := n.state.Reply(now, b.Member.Box)
 	r.Frozen = r.Frozen || !now.Before(n.leaseView.validUntil)
 	r.LeaseVersion = n.leaseView.version
 	r.Revision = n.cfg.Catalog.Revision()
-	if b.GrantsSum == coordinator.Sum(r.Grants) {
-		r.Same, r.Grants = true, nil
+	if b.GrantsSum == coordinator.GrantsChecksum(r.Grants) {
+		r.GrantsUnchanged, r.Grants = true, nil
 	}
 	return r, nil
 }
@@ -177,7 +177,7 @@
 	self := n.cfg.Self
 	self.Leaving = n.leaving
 	slices.Sort(draining)
-	b := coordinator.Beat{Member: self, Draining: draining, Sequence: n.nextSequence(), GrantsSum: coordinator.Sum(n.lastGrants), Lease: n.leaseView.record.Epoch}
+	b := coordinator.Beat{Member: self, Draining: draining, Sequence: n.nextSequence(), GrantsSum: coordinator.GrantsChecksum(n.lastGrants), Lease: n.leaseView.record.Epoch}
 	if n.cfg.Spread != nil && n.leaseView.record.Address != self.Peer.String() {
 		m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 		b.Known, b.MapGeneration = n.cfg.Spread.Known(), m.Generation
@@ -237,7 +237,7 @@
 		n.mu.Unlock()
 		return
 	}
-	if !r.Same {
+	if !r.GrantsUnchanged {
 		n.lastGrants = r.Grants
 	}
 	grants := map[string]grant{}
--- a/internal/member/coordinate.go
+++ b/internal/member/coordinate.go
@@ -117,7 +117,7 @@
 		"members", len(lastMap.Members), "engines", len(lastMap.Owners))
 	return coordinator.New(coordinator.Config{
 		Cell: n.cfg.Cell, Region: n.cfg.Region, Box: n.cfg.Self.Box, Lease: epoch, Term: n.cfg.Timing.Term, Drain: n.cfg.Timing.Drain, Started: clock.Now(),
-		SilentAfter: n.cfg.Timing.SilentAfter, UnheardAfter: takeoverGraceBeats * n.cfg.Timing.Beat, OrderGap: n.cfg.Timing.OrderGap, Reclaim: n.cfg.Timing.Reclaim, Lapsed: n.lapsedHolder,
+		SilentAfter: n.cfg.Timing.SilentAfter, InheritedSilentAfter: takeoverGraceBeats * n.cfg.Timing.Beat, OrderGap: n.cfg.Timing.OrderGap, Reclaim: n.cfg.Timing.Reclaim, ExpiredCoordinator: n.lapsedHolder,
 		Restored: restored, LeaseTTL: n.cfg.Timing.LeaseTTL,
 	}, lastMap), nil
 }
@@ -177,7 +177,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	state.Leaving(leaving)
+	state.SetLeavingBoxes(leaving)
 }
 
 // quarantinedRequests returns the requests to list in the cell map.
@@ -204,7 +204,7 @@
 // from overwriting the map of its successor.
 func (n *Node) publishMap(ctx context.Context, state *coordinator.State) error {
 	m := n.nextMap(state)
-	if state.Collecting(clock.Now()) || equalMaps(m, n.publishedMap) {
+	if state.IsCollecting(clock.Now()) || equalMaps(m, n.publishedMap) {
 		return nil
 	}
 	// After a change of the store's era the latest generations may be lost. Generations therefore start above all those of the earlier era.
@@ -245,7 +245,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.logVisibilityChanges(before, m, state)
-	state.Published(clock.Now(), m)
+	state.SetPublished(clock.Now(), m)
 	n.historyVersion = version
 	n.history.Set(m)
 }
--- a/internal/member/forward.go
+++ b/internal/member/forward.go
@@ -144,12 +144,12 @@
 		return
 	}
 	n.cfg.Scope.Counter("beats_passed").Inc(int64(len(batch)))
-	n.applyNews(reply.News, sentAt)
+	n.applyNews(reply.Updates, sentAt)
 	n.mu.Lock()
 	n.lastBatchSize = len(batch)
 	n.mu.Unlock()
 	for i, pending := range batch {
-		pending.outcome <- n.buildForwardResult(pending.beat, reply.Answers[i], reply.News.StoreAge)
+		pending.outcome <- n.buildForwardResult(pending.beat, reply.Answers[i], reply.Updates.StoreAge)
 	}
 }
 
@@ -184,13 +184,13 @@
 	if b.Member.Box == n.cfg.Self.Box {
 		return forwardResult{reply: r}
 	}
-	n.addLocalNews(b, &r.News)
+	n.addLocalNews(b, &r.Updates)
 	r.StoreAge = max(r.StoreAge, storeAge)
 	return forwardResult{reply: r}
 }
 
 // addLocalNews adds the changes that this box knows and the sender of the heartbeat does not, whatever their source.
-func (n *Node) addLocalNews(b coordinator.Beat, news *coordinator.News) {
+func (n *Node) addLocalNews(b coordinator.Beat, news *coordinator.Updates) {
 	m, version, known := n.cfg.Catalog.Map(n.cfg.Cell)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -207,16 +207,16 @@
 	n.cfg.Scope.Counter("beats_not_passed").Inc(1)
 	var r coordinator.Reply
 	if b.Member.Box != n.cfg.Self.Box {
-		n.addLocalNews(b, &r.News)
+		n.addLocalNews(b, &r.Updates)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	r.Unreached = &coordinator.Unreached{Lease: n.leaseView.record, Version: n.leaseView.version}
+	r.Unreached = &coordinator.LeaseStatus{Lease: n.leaseView.record, Version: n.leaseView.version}
 	return r
 }
 
 // coordinatorUnreachedError reports that an aggregator could not forward a heartbeat to the coordinator.
-type coordinatorUnreachedError struct{ *coordinator.Unreached }
+type coordinatorUnreachedError struct{ *coordinator.LeaseStatus }
 
 // Error implements error.
 func (e coordinatorUnreachedError) Error() string {
@@ -265,7 +265,7 @@
 	sentAt := clock.Now()
 	r, err := n.cfg.Peers.Beat(ctx, address, b)
 	if err == nil {
-		n.applyNews(r.News, sentAt)
+		n.applyNews(r.Updates, sentAt)
 	}
 	return r, err
 }
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -169,6 +169,6 @@
 	defer n.mu.Unlock()
 	n.collector.Stalled(now)
 	if n.state != nil {
-		n.state.StoodStill(now, now.Sub(due))
+		n.state.CorrectForSuspension(now, now.Sub(due))
 	}
 }
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -26,7 +26,7 @@
 }
 
 // addNews adds to a reply the changes that the receiving box does not have yet. The caller holds the lock.
-func (n *Node) addNews(known map[string]objects.Position, knownGeneration int64, news *coordinator.News) {
+func (n *Node) addNews(known map[string]objects.Position, knownGeneration int64, news *coordinator.Updates) {
 	if n.cfg.Spread == nil || known == nil {
 		return
 	}
@@ -46,7 +46,7 @@
 }
 
 // applyNews applies the changes in another box's reply to a message that was sent at sentAt.
-func (n *Node) applyNews(news coordinator.News, sentAt time.Time) {
+func (n *Node) applyNews(news coordinator.Updates, sentAt time.Time) {
 	if n.cfg.Spread == nil {
 		return
 	}
--- a/internal/member/visibility.go
+++ b/internal/member/visibility.go
@@ -55,7 +55,7 @@
 }
 
 func (n *Node) logVisibilityChange(box string, was, is visibility, after coordinator.Map, state *coordinator.State) {
-	contact := state.Heard(clock.Now(), box)
+	contact := state.LastContact(clock.Now(), box)
 	n.cfg.Scope.Tagged(map[string]string{"standing": string(is)}).Counter("box_standings").Inc(1)
 	klog.InfoS("box visibility changed", "cell", n.cfg.Cell, "of", box, "was", was, "is", is, "age", contact.Age, "inherited", contact.Inherited,
 		"generation", after.Generation, "lease", after.Lease)
--- a/internal/peer/encoding_test.go
+++ b/internal/peer/encoding_test.go
@@ -48,7 +48,7 @@
 	var sentBytes int64
 	s, client := startPeer(c, func(b coordinator.Batch) (coordinator.BatchReply, error) {
 		c.Check(b.Beats, qt.HasLen, 40)
-		return coordinator.BatchReply{News: coordinator.News{Map: &fullMap}}, nil
+		return coordinator.BatchReply{Updates: coordinator.Updates{Map: &fullMap}}, nil
 	})
 	s.Config.Handler = countBytes(s.Config.Handler, &sentBytes)
 	beat := coordinator.Beat{Member: largeMap().Members[0], Owned: largeMap().Owners[:10]}
@@ -58,7 +58,7 @@
 	}
 	reply, err := client.BeatBatch(c.Context(), strings.TrimPrefix(s.URL, "http://"), batch)
 	c.Assert(err, qt.IsNil)
-	m, ok := reply.News.Map.Apply(coordinator.Map{})
+	m, ok := reply.Updates.Map.Apply(coordinator.Map{})
 	c.Assert(ok, qt.IsTrue)
 	c.Check(m.Owners, qt.HasLen, 3000)
 	t.Logf("a map with an estimated size of %d B was sent as %d B", fullMap.Size(), sentBytes)
