--- a/internal/coordinator/restored_test.go
+++ b/internal/coordinator/restored_test.go
@@ -19,7 +19,7 @@
 	start := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	reservationTime := ttl + term + orderGap
 	olderMap := Map{
-		Epoch: storedEpoch, Lease: lease.FirstEpoch(1) + 3,
+		Epoch: storedEpoch, Lease: lease.EpochBase(1) + 3,
 		Members: []Member{{Box: "a", Incarnation: "a1"}, {Box: "b", Incarnation: "b1"}, {Box: "long-gone", Incarnation: "c1"}},
 		Owners:  []Ownership{{Engine: "e", Owner: "a", Epoch: storedEpoch}},
 	}
@@ -45,7 +45,7 @@
 	} {
 		c := qt.New(t)
 		s := New(Config{
-			Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: term, LeaseTTL: ttl, OrderGap: orderGap,
+			Box: "a", Lease: lease.EpochBase(2) + 1, Term: term, LeaseTTL: ttl, OrderGap: orderGap,
 			SilentAfter: 3 * beatInterval, InheritedSilentAfter: 2 * beatInterval, Started: start,
 			Reclaim: true, Restored: true,
 		}, olderMap)
@@ -71,7 +71,7 @@
 		if test.keepsGrant {
 			c.Check(m.Owners[0].Epoch <= claim.Epoch, qt.IsTrue, comment)
 		} else if test.owner != "" {
-			c.Check(m.Owners[0].Epoch > lease.FirstEpoch(2), qt.IsTrue, comment)
+			c.Check(m.Owners[0].Epoch > lease.EpochBase(2), qt.IsTrue, comment)
 		}
 		for _, entry := range m.Members {
 			c.Check(entry.Silent, qt.Equals, entry.Box == "long-gone", qt.Commentf("%s: %s", test.name, entry.Box))
@@ -98,7 +98,7 @@
 	c := qt.New(t)
 	now := time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 	s := New(Config{
-		Box: "a", Lease: lease.FirstEpoch(2) + 1, Term: 7 * time.Second, LeaseTTL: 2 * time.Second, InheritedSilentAfter: time.Second,
+		Box: "a", Lease: lease.EpochBase(2) + 1, Term: 7 * time.Second, LeaseTTL: 2 * time.Second, InheritedSilentAfter: time.Second,
 		Started: now, Reclaim: true, Restored: true,
 	}, Map{Owners: []Ownership{{Engine: "e", Owner: "a", Epoch: 4}}})
 	engines := []Engine{{Name: "e"}}
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -103,7 +103,7 @@
 	s := &State{
 		cfg: cfg, members: map[string]*member{}, owners: map[string]*Ownership{}, freedAt: map[string]time.Time{},
 		reservedUntil: map[string]time.Time{}, reservedFor: map[string]reservation{}, listedLeaving: last.Leaving,
-		highestEpoch: max(last.Epoch, lease.FirstEpoch(lease.EraOf(cfg.Lease))),
+		highestEpoch: max(last.Epoch, lease.EpochBase(lease.EraOf(cfg.Lease))),
 	}
 	for _, m := range last.Members {
 		// A box whose lease expired has been silent for the duration of the lease. A box of an older map may no longer exist.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -33,8 +33,8 @@
 // epochShift is the position of the era's lowest bit in an epoch.
 const epochShift = 32
 
-// FirstEpoch returns the lower bound of the epochs of an era. The first epoch that is used is one above it.
-func FirstEpoch(era int64) uint64 { return uint64(era) << epochShift }
+// EpochBase returns the lower bound of the epochs of an era. The first epoch that is used is one above it.
+func EpochBase(era int64) uint64 { return uint64(era) << epochShift }
 
 // EraOf returns the era of the store in which an epoch was assigned.
 func EraOf(epoch uint64) int64 { return int64(epoch >> epochShift) }
@@ -84,8 +84,8 @@
 // Record returns the record as last read, written or reported by another box.
 func (l *Lease) Record() Record { return l.record }
 
-// Held reports whether this box holds the lease at now.
-func (l *Lease) Held(now time.Time) bool { return now.Before(l.validUntil) }
+// IsHeld reports whether this box holds the lease at now.
+func (l *Lease) IsHeld(now time.Time) bool { return now.Before(l.validUntil) }
 
 // ValidUntil returns when this box's tenure ends unless it is renewed.
 func (l *Lease) ValidUntil() time.Time { return l.validUntil }
@@ -122,35 +122,35 @@
 // Version returns the last known version of the lease object.
 func (l *Lease) Version() objects.Position { return l.version }
 
-// Observe records that at now the holder with the given epoch reported version as the newest version. If the epoch is that of the known
+// ConfirmVersion records that at now the holder with the given epoch reported version as the newest version. If the epoch is that of the known
 // record, this is equivalent to reading the lease. Without it, the wait until the lease is free would begin only at the first unanswered
 // heartbeat.
-func (l *Lease) Observe(now time.Time, epoch uint64, version objects.Position) {
+func (l *Lease) ConfirmVersion(now time.Time, epoch uint64, version objects.Position) {
 	if epoch == l.record.Epoch && version >= l.version {
 		l.version, l.changedAt = version, now
 	}
 }
 
-// Told records the state of the lease that another box has read. It is ignored if its version is not newer, or if its epoch is lower than
+// UpdateFromReport records the state of the lease that another box has read. It is ignored if its version is not newer, or if its epoch is lower than
 // the known epoch.
-func (l *Lease) Told(r Record, version objects.Position) {
+func (l *Lease) UpdateFromReport(r Record, version objects.Position) {
 	if version > l.version && r.Epoch >= l.record.Epoch {
 		l.setRecord(objects.Object{Version: version}, r)
 	}
 }
 
-// Named records the holder of a later epoch, which is known from an object that the holder has published. The lease record of that
+// SetLaterHolder records the holder of a later epoch, which is known from an object that the holder has published. The lease record of that
 // epoch has not been read, so the known version stays the older one: this box cannot write the lease before the holder has reported its
 // version or the lease has been read.
-func (l *Lease) Named(holder, address string, epoch uint64) {
+func (l *Lease) SetLaterHolder(holder, address string, epoch uint64) {
 	if epoch > l.record.Epoch {
 		l.record, l.changedAt = Record{Holder: holder, Address: address, Epoch: epoch}, clock.Now()
 	}
 }
 
-// Free reports whether this box may acquire the lease: it was released or never existed and grace has passed, it has been unchanged for
+// IsFree reports whether this box may acquire the lease: it was released or never existed and grace has passed, it has been unchanged for
 // TTL plus grace, or it belongs to this box's last process and Config.Reclaim is set.
-func (l *Lease) Free(now time.Time, grace time.Duration) bool {
+func (l *Lease) IsFree(now time.Time, grace time.Duration) bool {
 	at, known := l.FreeAt(grace)
 	return known && !now.Before(at)
 }
@@ -170,29 +170,29 @@
 	}
 }
 
-// Take writes this box as the holder, with the next epoch. Call it only if Free returns true or this box is the recorded holder.
-func (l *Lease) Take(ctx context.Context) error {
-	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: max(l.record.Epoch, FirstEpoch(l.version.Era())) + 1})
+// Acquire writes this box as the holder, with the next epoch. Call it only if Free returns true or this box is the recorded holder.
+func (l *Lease) Acquire(ctx context.Context) error {
+	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: max(l.record.Epoch, EpochBase(l.version.Era())) + 1})
 }
 
-// Ours reports whether the last known record was written by this box in the current era of the store. After the store was restored from
+// IsOwn reports whether the last known record was written by this box in the current era of the store. After the store was restored from
 // a copy it returns false, as another box may have held the lease since the copy was made.
-func (l *Lease) Ours() bool {
+func (l *Lease) IsOwn() bool {
 	return l.lastToken != "" && l.record.Token == l.lastToken && EraOf(l.record.Epoch) == l.version.Era()
 }
 
 // Renew extends this box's tenure. It returns objects.ErrConflict if another box has written the lease since, even if this box has
 // already read that write.
 func (l *Lease) Renew(ctx context.Context) error {
-	if !l.Ours() {
+	if !l.IsOwn() {
 		l.validUntil = time.Time{}
 		return objects.ErrConflict
 	}
 	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: l.record.Epoch})
 }
 
-// GiveUp releases the lease so that another box can acquire it without waiting for TTL.
-func (l *Lease) GiveUp(ctx context.Context) error {
+// Release releases the lease so that another box can acquire it without waiting for TTL.
+func (l *Lease) Release(ctx context.Context) error {
 	l.validUntil = time.Time{}
 	return l.writeRecord(ctx, Record{Epoch: l.record.Epoch})
 }
@@ -202,7 +202,7 @@
 func (l *Lease) writeRecord(ctx context.Context, r Record) error {
 	previousToken := l.lastToken
 	err := l.putRecord(ctx, r)
-	if errors.Is(err, objects.ErrConflict) && l.lastToken != previousToken && l.Ours() {
+	if errors.Is(err, objects.ErrConflict) && l.lastToken != previousToken && l.IsOwn() {
 		return l.putRecord(ctx, r)
 	}
 	return err
--- a/internal/lease/reported_test.go
+++ b/internal/lease/reported_test.go
@@ -15,9 +15,9 @@
 func TestRecordsReportedByOtherBoxes(t *testing.T) {
 	c := qt.New(t)
 	l := lease.New(lease.Config{Holder: "box-c", TTL: time.Second})
-	l.Told(lease.Record{Holder: "box-a", Epoch: 5}, 10)
+	l.UpdateFromReport(lease.Record{Holder: "box-a", Epoch: 5}, 10)
 	c.Check(l.Record().Holder, qt.Equals, "box-a")
-	l.Named("box-b", "10.0.0.2:1", 6)
+	l.SetLaterHolder("box-b", "10.0.0.2:1", 6)
 	c.Check(l.Record(), qt.Equals, lease.Record{Holder: "box-b", Address: "10.0.0.2:1", Epoch: 6})
 	for _, test := range []struct {
 		name    string
@@ -30,12 +30,12 @@
 		{"released by the holder", lease.Record{Epoch: 6}, 14, ""},
 		{"the next holder", lease.Record{Holder: "box-d", Epoch: 7}, 15, "box-d"},
 	} {
-		l.Told(test.record, test.version)
+		l.UpdateFromReport(test.record, test.version)
 		c.Check(l.Record().Holder, qt.Equals, test.holder, qt.Commentf("%s", test.name))
-		c.Check(l.Ours(), qt.IsFalse)
+		c.Check(l.IsOwn(), qt.IsFalse)
 	}
 	_, known := l.FreeAt(0)
 	c.Check(known, qt.IsTrue)
-	l.Named("box-a", "10.0.0.1:1", 6)
+	l.SetLaterHolder("box-a", "10.0.0.1:1", 6)
 	c.Check(l.Record().Holder, qt.Equals, "box-d")
 }
--- a/internal/lease/unconfirmed_test.go
+++ b/internal/lease/unconfirmed_test.go
@@ -43,13 +43,13 @@
 		store := &lossyStore{API: fakeplatform.New()}
 		a := newLease(store, "a")
 		c.Assert(a.Refresh(ctx), qt.IsNil)
-		c.Assert(a.Take(ctx), qt.IsNil)
+		c.Assert(a.Acquire(ctx), qt.IsNil)
 		time.Sleep(ttl / 3)
 		store.failing = true
 		c.Assert(a.Renew(ctx), qt.Not(qt.IsNil))
 		store.failing = false
 		c.Check(a.Renew(ctx), qt.IsNil)
-		c.Check(a.Ours(), qt.IsTrue)
+		c.Check(a.IsOwn(), qt.IsTrue)
 		c.Check(a.Record().Holder, qt.Equals, "a")
 	})
 }
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -116,7 +116,7 @@
 	if !errors.As(err, &unreached) {
 		return
 	}
-	n.lease.Told(unreached.Lease, unreached.Version)
+	n.lease.UpdateFromReport(unreached.Lease, unreached.Version)
 	n.updateLeaseView(n.coordinatorState())
 	if n.candidateRank() >= maxCandidates {
 		n.lastLeaseCheck = clock.Now()
@@ -247,6 +247,6 @@
 	}
 	n.grants = grants
 	n.mu.Unlock()
-	n.lease.Observe(now, r.Lease, r.LeaseVersion)
+	n.lease.ConfirmVersion(now, r.Lease, r.LeaseVersion)
 	n.cfg.Holder.Update(n.lastGrants, r.Release)
 }
--- a/internal/member/coordinate.go
+++ b/internal/member/coordinate.go
@@ -31,12 +31,12 @@
 		n.cfg.Scope.Counter("lease_read_failures").Inc(1)
 		return
 	}
-	if n.lease.Ours() {
+	if n.lease.IsOwn() {
 		n.updateLeaseView(n.coordinatorState())
 	} else {
 		n.updateLeaseView(nil)
 	}
-	if n.coordinatorState() != nil || n.Leaving() || !n.lease.Free(clock.Now(), n.takeoverDelay()) {
+	if n.coordinatorState() != nil || n.Leaving() || !n.lease.IsFree(clock.Now(), n.takeoverDelay()) {
 		return
 	}
 	state, err := n.takeLease(ctx)
@@ -91,7 +91,7 @@
 	if holder := n.lease.Record().Holder; holder != n.cfg.Self.Box {
 		n.lapsedHolder = holder
 	}
-	if err := n.lease.Take(ctx); err != nil {
+	if err := n.lease.Acquire(ctx); err != nil {
 		return nil, err
 	}
 	lastMap, version, err := readMap(ctx, n.cfg.API, n.cfg.Cell)
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -279,12 +279,12 @@
 			klog.InfoS("could not release the engines", "cell", n.cfg.Cell, "err", err)
 		}
 	}
-	if n.coordinatorState() == nil || !n.Leaving() || !n.lease.Ours() {
+	if n.coordinatorState() == nil || !n.Leaving() || !n.lease.IsOwn() {
 		return
 	}
 	ctx, cancel := n.withStepTimeout(context.WithoutCancel(ctx))
 	defer cancel()
-	if err := n.lease.GiveUp(ctx); err != nil {
+	if err := n.lease.Release(ctx); err != nil {
 		klog.InfoS("could not release the coordinator lease", "cell", n.cfg.Cell, "err", err)
 	}
 }
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -148,7 +148,7 @@
 	if index < 0 || m.Coordinator == n.cfg.Self.Box {
 		return false
 	}
-	n.lease.Named(m.Coordinator, m.Members[index].Peer.String(), m.Lease)
+	n.lease.SetLaterHolder(m.Coordinator, m.Members[index].Peer.String(), m.Lease)
 	n.checkedLeaseEpoch = m.Lease
 	n.updateLeaseView(n.coordinatorState())
 	return true
