--- a/internal/aggregator/aggregator_test.go
+++ b/internal/aggregator/aggregator_test.go
@@ -98,11 +98,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			now := time.Now()
-			collector := aggregator.NewCollector[int](aggregator.CollectorConfig{Window: window, StallAfter: stallAfter})
+			collector := aggregator.NewCollector[int](aggregator.CollectorConfig{Window: window, MaxDelay: stallAfter})
 			c.Check(collector.Add(now, 1), qt.IsTrue)
 			c.Check(collector.Add(now.Add(window/2), 2), qt.IsFalse)
 			if test.stalledBefore > 0 {
-				collector.Stalled(now.Add(test.takenAfter - test.stalledBefore))
+				collector.RecordStall(now.Add(test.takenAfter - test.stalledBefore))
 			}
 			batch, fresh := collector.Take(now.Add(test.takenAfter))
 			c.Check(batch, qt.DeepEquals, []int{1, 2})
--- a/internal/aggregator/collector.go
+++ b/internal/aggregator/collector.go
@@ -14,10 +14,10 @@
 type CollectorConfig struct {
 	// Window is how long a batch waits for more entries after its first entry.
 	Window time.Duration
-	// StallAfter is the limit for a delayed batch. A batch that is taken later than this after the end of its window is from a process
+	// MaxDelay is the limit for a delayed batch. A batch that is taken later than this after the end of its window is from a process
 	// that was suspended. The messages that such a process reads may have been sent long before, and forwarding them would make them look
 	// new.
-	StallAfter time.Duration
+	MaxDelay time.Duration
 }
 
 // NewCollector returns a Collector.
@@ -33,14 +33,14 @@
 	return true
 }
 
-// Stalled records that the process was suspended until now.
-func (c *Collector[T]) Stalled(now time.Time) { c.lastStallAt = now }
+// RecordStall records that the process was suspended until now.
+func (c *Collector[T]) RecordStall(now time.Time) { c.lastStallAt = now }
 
 // Take returns the entries of the batch and whether they are fresh enough to be forwarded. They are fresh if the process was suspended
 // neither while they waited nor shortly before.
 func (c *Collector[T]) Take(now time.Time) (batch []T, fresh bool) {
 	batch, c.pending = c.pending, nil
-	onTime := now.Sub(c.dueAt) < c.cfg.StallAfter
-	recentlyStalled := !c.lastStallAt.IsZero() && now.Sub(c.lastStallAt) < c.cfg.Window+c.cfg.StallAfter
+	onTime := now.Sub(c.dueAt) < c.cfg.MaxDelay
+	recentlyStalled := !c.lastStallAt.IsZero() && now.Sub(c.lastStallAt) < c.cfg.Window+c.cfg.MaxDelay
 	return batch, onTime && !recentlyStalled
 }
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -183,7 +183,7 @@
 	})
 	return &Node{
 		cfg: cfg, done: make(chan struct{}), lease: l, grants: map[string]grant{}, skippedUntil: map[string]time.Time{},
-		collector: aggregator.NewCollector[pendingBeat](aggregator.CollectorConfig{Window: cfg.Timing.Beat / windowDivisor, StallAfter: cfg.Timing.Beat}),
+		collector: aggregator.NewCollector[pendingBeat](aggregator.CollectorConfig{Window: cfg.Timing.Beat / windowDivisor, MaxDelay: cfg.Timing.Beat}),
 	}
 }
 
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -167,7 +167,7 @@
 	klog.InfoS("this process was stalled", "cell", n.cfg.Cell, "for", now.Sub(due), "suspended_in_all", clock.Suspended())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.collector.Stalled(now)
+	n.collector.RecordStall(now)
 	if n.state != nil {
 		n.state.CorrectForSuspension(now, now.Sub(due))
 	}
