--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -12,14 +12,14 @@
 
 // Config configures a Gatherer.
 type Config[K comparable, T any] struct {
-	// Ring is the maximum number of queued messages.
-	Ring int
-	// Every is how long the first message of a batch waits for more messages.
-	Every time.Duration
+	// QueueSize is the maximum number of queued messages.
+	QueueSize int
+	// BatchWindow is how long the first message of a batch waits for more messages.
+	BatchWindow time.Duration
 	// Send sends the gathered messages of one receiver.
 	Send func(ctx context.Context, receiver K, messages []T)
-	// Dropped is called for each message that is dropped because the queue is full.
-	Dropped func()
+	// OnDrop is called for each message that is dropped because the queue is full.
+	OnDrop func()
 }
 
 // item is a message with its receiver.
@@ -37,7 +37,7 @@
 
 // New returns a Gatherer.
 func New[K comparable, T any](cfg Config[K, T]) *Gatherer[K, T] {
-	return &Gatherer[K, T]{cfg: cfg, queue: make(chan item[K, T], cfg.Ring), done: make(chan struct{})}
+	return &Gatherer[K, T]{cfg: cfg, queue: make(chan item[K, T], cfg.QueueSize), done: make(chan struct{})}
 }
 
 // Done returns a channel that is closed when Serve has ended because its context was canceled.
@@ -48,7 +48,7 @@
 	select {
 	case g.queue <- item[K, T]{receiver, message}:
 	default:
-		g.cfg.Dropped()
+		g.cfg.OnDrop()
 	}
 }
 
@@ -73,7 +73,7 @@
 // collectByReceiver waits for more messages during Config.Every and groups them with the first message by receiver.
 func (g *Gatherer[K, T]) collectByReceiver(ctx context.Context, first item[K, T]) map[K][]T {
 	byReceiver := map[K][]T{first.receiver: {first.message}}
-	timer := time.NewTimer(g.cfg.Every)
+	timer := time.NewTimer(g.cfg.BatchWindow)
 	defer timer.Stop()
 	for {
 		select {
--- a/internal/grant/client.go
+++ b/internal/grant/client.go
@@ -67,8 +67,8 @@
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg}
 	c.updates = gather.New(gather.Config[netip.AddrPort, grantUpdate]{
-		Ring: updateBufferSize, Every: updateInterval, Send: c.sendUpdates,
-		Dropped: func() { cfg.Scope.Counter("grant_news_dropped").Inc(1) },
+		QueueSize: updateBufferSize, BatchWindow: updateInterval, Send: c.sendUpdates,
+		OnDrop: func() { cfg.Scope.Counter("grant_news_dropped").Inc(1) },
 	})
 	return c
 }
--- a/internal/notice/client.go
+++ b/internal/notice/client.go
@@ -88,8 +88,8 @@
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, done: make(chan struct{})}
 	c.batcher = gather.New(gather.Config[struct{}, Endpoint]{
-		Ring: batchCapacity, Every: batchInterval, Send: c.notifyOthers,
-		Dropped: func() { cfg.Scope.Counter("notices_dropped").Inc(1) },
+		QueueSize: batchCapacity, BatchWindow: batchInterval, Send: c.notifyOthers,
+		OnDrop: func() { cfg.Scope.Counter("notices_dropped").Inc(1) },
 	})
 	return c
 }
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -61,8 +61,8 @@
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, unresponsive: recent.New[netip.AddrPort](unresponsivePeriod)}
 	c.ends = gather.New(gather.Config[netip.AddrPort, EndReport]{
-		Ring: endsBufferSize, Every: endsInterval, Send: c.sendEnds,
-		Dropped: func() { cfg.Scope.Counter("place_ends_dropped").Inc(1) },
+		QueueSize: endsBufferSize, BatchWindow: endsInterval, Send: c.sendEnds,
+		OnDrop: func() { cfg.Scope.Counter("place_ends_dropped").Inc(1) },
 	})
 	return c
 }
--- a/internal/quarantine/client.go
+++ b/internal/quarantine/client.go
@@ -90,8 +90,8 @@
 func NewClient(cfg ClientConfig) *Client {
 	c := &Client{cfg: cfg, done: make(chan struct{})}
 	c.clearedQueue = gather.New(gather.Config[netip.AddrPort, Case]{
-		Ring: clearedQueueSize, Every: clearedBatchWindow, Send: c.sendCleared,
-		Dropped: func() { cfg.Scope.Counter("quarantine_clears_dropped").Inc(1) },
+		QueueSize: clearedQueueSize, BatchWindow: clearedBatchWindow, Send: c.sendCleared,
+		OnDrop: func() { cfg.Scope.Counter("quarantine_clears_dropped").Inc(1) },
 	})
 	return c
 }
