--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -379,7 +379,7 @@
 	for {
 		if b.InFlight() > 0 {
 			idleSince = clock.Now()
-		} else if b.node.HandedOver() || clock.Since(idleSince) > 2*timing.Term {
+		} else if b.node.IsHandedOver() || clock.Since(idleSince) > 2*timing.Term {
 			return
 		}
 		select {
--- a/internal/box/force_test.go
+++ b/internal/box/force_test.go
@@ -173,13 +173,13 @@
 	}()
 	for range 2 {
 		cat := catalog.New()
-		f := follow.New(follow.Config{Source: s, Catalog: cat, Scope: tally.NoopScope, Kinds: followedKinds(settings.Customers{}), Grace: time.Second, RelayFor: silentBeats * testBeat})
+		f := follow.New(follow.Config{Source: s, Catalog: cat, Scope: tally.NoopScope, Kinds: followedKinds(settings.Customers{}), Grace: time.Second, RelayTimeout: silentBeats * testBeat})
 		boxes, catalogs = append(boxes, f), append(catalogs, cat)
 		group.Go(func() error { _ = f.Serve(ctx); return nil })
 	}
 	group.Go(func() error {
 		for ctx.Err() == nil {
-			boxes[1].Take(boxes[0].Since(boxes[1].Known()))
+			boxes[1].ApplyChanges(boxes[0].ChangesSince(boxes[1].KnownRevisions()))
 			time.Sleep(testBeat)
 		}
 		return nil
--- a/internal/box/kinds.go
+++ b/internal/box/kinds.go
@@ -35,9 +35,9 @@
 // often.
 func followedKinds(s settings.Customers) []follow.Kind {
 	return []follow.Kind{
-		{Name: string(resource.KindRouting), Wait: routingWait, TellWait: s.RevokedWithin / revocationWatches, Relayed: true, Confirmed: true},
-		{Name: string(resource.KindEndpoint), Pace: endpointPace, Wait: endpointWait, Lapses: true, With: []string{string(resource.KindHolding)}, Relayed: true, Probes: true},
+		{Name: string(resource.KindRouting), Wait: routingWait, RelayingWait: s.RevokedWithin / revocationWatches, Relayed: true, SendsConfirmations: true},
+		{Name: string(resource.KindEndpoint), MinInterval: endpointPace, Wait: endpointWait, MayExpire: true, CompanionKinds: []string{string(resource.KindHolding)}, Relayed: true, ProbesLostStore: true},
 		{Name: string(resource.KindAdapterVersion), Wait: versionWait, Relayed: true},
-		{Name: coordinator.MapKind, Pace: mapPace, Wait: mapWait, Ours: true},
+		{Name: coordinator.MapKind, MinInterval: mapPace, Wait: mapWait, FleetOwned: true},
 	}
 }
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -134,7 +134,7 @@
 	})
 	b.follower = follow.New(follow.Config{
 		Source: cfg.Deployment.Source, Catalog: b.catalog, Kinds: followedKinds(cfg.Settings.Customers), Grace: cfg.Settings.Platform.LapseGrace, Scope: b.metrics.Scope,
-		RelayFor: silentBeats * cfg.Settings.Timing.Beat, FirstWatch: firstWatchBeats * cfg.Settings.Timing.Beat, TellRate: tellShare * packed * bytesPerMbit * cfg.Settings.Box.LinkMbps,
+		RelayTimeout: silentBeats * cfg.Settings.Timing.Beat, FirstWatchDelay: firstWatchBeats * cfg.Settings.Timing.Beat, RelayRate: tellShare * packed * bytesPerMbit * cfg.Settings.Box.LinkMbps,
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
 	peers := peer.NewClient(peer.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}})
@@ -269,7 +269,7 @@
 	op := operator.New(operator.Config{
 		Box: b.cfg.Settings.Box.Name, API: b.cfg.Deployment.API, Catalog: b.catalog, Metrics: b.metrics.Handler, Ready: b.Ready,
 		Membership: b.node.Status, Engines: b.owners.Status, InFlight: b.InFlight, Scope: b.metrics.Scope, Record: record.New(),
-		Quarantine: b.quarantine, Limits: b.rates.Limits, Notices: b.notices, Restored: b.follower.Restored,
+		Quarantine: b.quarantine, Limits: b.rates.Limits, Notices: b.notices, Restored: b.follower.LastRestore,
 	})
 	b.root.Add(server{b.listeners.caller, b.relay})
 	b.root.Add(server{b.listeners.peer, peerMux})
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -87,7 +87,7 @@
 	// The tabwriter buffers its output; Flush returns write errors.
 	_, _ = fmt.Fprintf(w, "box %s ready=%t revision=%s in_flight=%d cell=%s coordinator=%s frozen=%t heard=%s ago aggregator=%s passes_on=%d\n",
 		st.Box, st.Ready, st.Revision, st.InFlight, st.Member.Cell, st.Member.Coordinator, st.Member.Frozen,
-		st.Member.SinceReply.Round(time.Millisecond), cmp.Or(st.Member.Aggregator, "none"), st.Member.PassesOn)
+		st.Member.SinceReply.Round(time.Millisecond), cmp.Or(st.Member.Aggregator, "none"), st.Member.ForwardedBeats)
 	if r := st.LastRestore; r != nil {
 		_, _ = fmt.Fprintf(w, "store came back from an older copy: era %d, %s ago; kept %d objects that it lacks, withheld %d that had gone\n",
 			r.Era, r.Ago.Round(time.Second), r.Kept, r.Withheld)
--- a/internal/follow/age_test.go
+++ b/internal/follow/age_test.go
@@ -79,13 +79,13 @@
 				c := qt.New(t)
 				f := follow.New(follow.Config{
 					Source: &failingWatchSource{failAfter: test.failAfter, err: test.err, keepFailing: test.keepFailing}, Catalog: catalog.New(), Scope: tally.NoopScope,
-					Kinds: []follow.Kind{{Name: versionKind, Wait: 3 * time.Second, Relayed: true}, {Name: "Endpoint", Wait: 700 * time.Millisecond, Relayed: true, Probes: true}},
+					Kinds: []follow.Kind{{Name: versionKind, Wait: 3 * time.Second, Relayed: true}, {Name: "Endpoint", Wait: 700 * time.Millisecond, Relayed: true, ProbesLostStore: true}},
 				})
 				ctx, cancel := context.WithCancel(t.Context())
 				var group errgroup.Group
 				group.Go(func() error { return f.Serve(ctx) })
 				time.Sleep(test.failAfter + 400*time.Millisecond)
-				_, age := f.Since(map[string]objects.Position{versionKind: 7})
+				_, age := f.ChangesSince(map[string]objects.Position{versionKind: 7})
 				c.Check(age > maxAge, qt.Equals, test.wantStale, qt.Commentf("reported age %s", age))
 				cancel()
 				c.Check(group.Wait(), qt.ErrorIs, context.Canceled)
@@ -102,7 +102,7 @@
 		receiver.source.cutKind.Store(string(resource.KindRouting))
 		heartbeatsOn.Store(false)
 		time.Sleep(9 * time.Second)
-		_, age := receiver.Since(receiver.Known())
+		_, age := receiver.ChangesSince(receiver.KnownRevisions())
 		c.Check(age > 5*time.Second && age < 12*time.Second, qt.IsTrue, qt.Commentf("reported age %s", age))
 	})
 }
--- a/internal/follow/calls_test.go
+++ b/internal/follow/calls_test.go
@@ -60,9 +60,9 @@
 		s.put(c, resource.KindEndpoint, "e1", endpoint(1))
 		cat := catalog.New()
 		f := follow.New(follow.Config{
-			Source: s, Catalog: cat, Scope: tally.NoopScope, Grace: grace, RelayFor: relayTimeout, Kinds: []follow.Kind{
+			Source: s, Catalog: cat, Scope: tally.NoopScope, Grace: grace, RelayTimeout: relayTimeout, Kinds: []follow.Kind{
 				{Name: string(resource.KindRouting), Wait: 6 * time.Second, Relayed: true},
-				{Name: string(resource.KindEndpoint), Pace: pace, Wait: 700 * time.Millisecond, Relayed: true, Lapses: true, Probes: true},
+				{Name: string(resource.KindEndpoint), MinInterval: pace, Wait: 700 * time.Millisecond, Relayed: true, MayExpire: true, ProbesLostStore: true},
 			},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -97,7 +97,7 @@
 func TestCallsResumeAtRelayedRevision(t *testing.T) {
 	runCountingFollower(t, func(c *qt.C, s *countingSource, f *follow.Follower, cat *catalog.Catalog) {
 		for range 20 {
-			f.Take([]objects.KindChanges{
+			f.ApplyChanges([]objects.KindChanges{
 				{Kind: string(resource.KindEndpoint), Revision: s.newestRevision(), IsFullList: true, Objects: s.objectsOf(resource.KindEndpoint)},
 				{Kind: string(resource.KindRouting), Revision: s.newestRevision(), IsFullList: true, Objects: s.objectsOf(resource.KindRouting)},
 			}, 0)
--- a/internal/follow/confirm.go
+++ b/internal/follow/confirm.go
@@ -34,25 +34,25 @@
 	return f.statusOf(kind).confirmedAt
 }
 
-// Confirmed returns the age of this box's data of each confirmed kind, for another box. It must be called before reading the
+// Confirmations returns the age of this box's data of each confirmed kind, for another box. It must be called before reading the
 // changes that are sent with it, so that these include the confirmed revision.
-func (f *Follower) Confirmed() map[string]objects.Confirmation {
+func (f *Follower) Confirmations() map[string]objects.Confirmation {
 	now := clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	confirmations := map[string]objects.Confirmation{}
 	for _, k := range f.cfg.Kinds {
 		status := f.statusOf(k.Name)
-		if k.Confirmed && status.knownRevision > 0 && !status.confirmedAt.IsZero() {
+		if k.SendsConfirmations && status.knownRevision > 0 && !status.confirmedAt.IsZero() {
 			confirmations[k.Name] = objects.Confirmation{Revision: status.knownRevision, Age: now.Sub(status.confirmedAt)}
 		}
 	}
 	return confirmations
 }
 
-// Confirm applies the ages that another box sent, after the changes sent with them were applied. The request for them was sent
+// ApplyConfirmations applies the ages that another box sent, after the changes sent with them were applied. The request for them was sent
 // at requestedAt.
-func (f *Follower) Confirm(received map[string]objects.Confirmation, requestedAt time.Time) {
+func (f *Follower) ApplyConfirmations(received map[string]objects.Confirmation, requestedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for kind, c := range received {
--- a/internal/follow/confirm_test.go
+++ b/internal/follow/confirm_test.go
@@ -28,7 +28,7 @@
 }
 
 func confirmedKinds() []follow.Kind {
-	return []follow.Kind{{Name: routingKind, Wait: 700 * time.Millisecond, Relayed: true, Confirmed: true}}
+	return []follow.Kind{{Name: routingKind, Wait: 700 * time.Millisecond, Relayed: true, SendsConfirmations: true}}
 }
 
 func newRelayChain(s *fakeStore, boxes int) *relayChain {
@@ -41,13 +41,13 @@
 
 // relay sends what one box knows to the next box, like a heartbeat and its reply.
 func (ch *relayChain) relay(rng *rand.Rand, sender, receiver *follow.Follower) {
-	requestedAt, known := time.Now(), receiver.Known()
+	requestedAt, known := time.Now(), receiver.KnownRevisions()
 	time.Sleep(time.Duration(rng.Int64N(int64(ch.maxDelay))))
-	confirmed := sender.Confirmed()
-	changes, age := sender.Since(known)
+	confirmed := sender.Confirmations()
+	changes, age := sender.ChangesSince(known)
 	time.Sleep(time.Duration(rng.Int64N(int64(ch.maxDelay))))
-	receiver.Take(changes, age)
-	receiver.Confirm(confirmed, requestedAt)
+	receiver.ApplyChanges(changes, age)
+	receiver.ApplyConfirmations(confirmed, requestedAt)
 }
 
 // TestConfirmationIsNeverTooRecent has the store answer up to a moment and not after it, as for a box that is cut off, while
@@ -112,13 +112,13 @@
 	confirmation := func(revision objects.Position) map[string]objects.Confirmation {
 		return map[string]objects.Confirmation{routingKind: {Revision: revision, Age: time.Second}}
 	}
-	f.Take([]objects.KindChanges{{Kind: routingKind, Revision: 5}}, 0)
-	f.Confirm(confirmation(6), now)
+	f.ApplyChanges([]objects.KindChanges{{Kind: routingKind, Revision: 5}}, 0)
+	f.ApplyConfirmations(confirmation(6), now)
 	c.Check(f.ConfirmedAt(routingKind).IsZero(), qt.IsTrue)
-	f.Confirm(confirmation(5), now)
+	f.ApplyConfirmations(confirmation(5), now)
 	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue)
-	f.Confirm(confirmation(5), now.Add(-time.Second))
+	f.ApplyConfirmations(confirmation(5), now.Add(-time.Second))
 	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue, qt.Commentf("an older confirmation has no effect"))
-	f.Confirm(map[string]objects.Confirmation{routingKind: {Revision: 5, Age: -time.Hour}}, now)
+	f.ApplyConfirmations(map[string]objects.Confirmation{routingKind: {Revision: 5, Age: -time.Hour}}, now)
 	c.Check(f.ConfirmedAt(routingKind).Equal(now.Add(-time.Second)), qt.IsTrue, qt.Commentf("a negative age is ignored"))
 }
--- a/internal/follow/era.go
+++ b/internal/follow/era.go
@@ -19,8 +19,8 @@
 // nobody renews expire within this time.
 const withholdTime = 5 * time.Second
 
-// Restored describes the last restore of the store from an older copy, as shown to operators.
-type Restored struct {
+// RestoreStatus describes the last restore of the store from an older copy, as shown to operators.
+type RestoreStatus struct {
 	// Era is the era that began with the restore, zero if this box has detected none. Ago is the time since this box detected
 	// it.
 	Era int64         `json:"era"`
@@ -31,8 +31,8 @@
 	Withheld int `json:"withheld"`
 }
 
-// Restored returns the state of the last restore of the store.
-func (f *Follower) Restored() Restored {
+// LastRestore returns the state of the last restore of the store.
+func (f *Follower) LastRestore() RestoreStatus {
 	withheld := f.cfg.Catalog.WithheldCount()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -57,7 +57,7 @@
 	if isNew {
 		k.previousEraRevision, k.eraChangedAt = previous, now
 		if revision.Era() > f.lastRestore.Era {
-			f.lastRestore, f.lastRestoreAt = Restored{Era: revision.Era()}, now
+			f.lastRestore, f.lastRestoreAt = RestoreStatus{Era: revision.Era()}, now
 		}
 	}
 	f.mu.Unlock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -29,28 +29,28 @@
 // Kind configures how one kind of object is followed.
 type Kind struct {
 	Name string
-	// Pace is the minimum time between the starts of two calls. It limits how often kinds that change constantly are read.
-	Pace time.Duration
+	// MinInterval is the minimum time between the starts of two calls. It limits how often kinds that change constantly are read.
+	MinInterval time.Duration
 	// Wait is how long a watch waits for changes before it returns without any.
 	Wait time.Duration
-	// Lapses marks an expiring kind: after a store outage, its objects may be missing for a while although nobody removed them.
+	// MayExpire marks an expiring kind: after a store outage, its objects may be missing for a while although nobody removed them.
 	// They are then kept for Config.Grace.
-	Lapses bool
-	// With names the companion kinds. Their objects exist only together with the object of this kind that has the same name.
-	With []string
+	MayExpire bool
+	// CompanionKinds names the companion kinds. Their objects exist only together with the object of this kind that has the same name.
+	CompanionKinds []string
 	// Relayed is set if changes of the kind are sent to other boxes.
 	Relayed bool
-	// Confirmed is set if other boxes are also sent the age of this box's data of the kind.
-	Confirmed bool
-	// TellWait, if not zero, replaces Wait on a box that relays changes. The data of the receiving boxes is at least as old as
+	// SendsConfirmations is set if other boxes are also sent the age of this box's data of the kind.
+	SendsConfirmations bool
+	// RelayingWait, if not zero, replaces Wait on a box that relays changes. The data of the receiving boxes is at least as old as
 	// the last watch of the relaying box.
-	TellWait time.Duration
-	// Ours is set if the objects of the kind belong to this fleet alone. Objects that an older copy of the store lacks then stay
+	RelayingWait time.Duration
+	// FleetOwned is set if the objects of the kind belong to this fleet alone. Objects that an older copy of the store lacks then stay
 	// in force until others replace them.
-	Ours bool
-	// Probes is set if, while the store is lost, calls for this kind test whether it is back and the other kinds make no calls.
+	FleetOwned bool
+	// ProbesLostStore is set if, while the store is lost, calls for this kind test whether it is back and the other kinds make no calls.
 	// Every call is charged, even one that fails. If there is no such kind, all kinds continue to make calls.
-	Probes bool
+	ProbesLostStore bool
 }
 
 // Config configures a Follower.
@@ -58,16 +58,16 @@
 	Source  Source
 	Catalog *catalog.Catalog
 	Kinds   []Kind
-	// RelayFor is how long changes received from another box replace this box's own calls. Zero means that this box always calls
+	// RelayTimeout is how long changes received from another box replace this box's own calls. Zero means that this box always calls
 	// the store.
-	RelayFor time.Duration
-	// FirstWatch is the delay between the first list of a kind and its first watch. Heartbeats begin in this time and bring the
+	RelayTimeout time.Duration
+	// FirstWatchDelay is the delay between the first list of a kind and its first watch. Heartbeats begin in this time and bring the
 	// changes made since the list. Without the delay, when all boxes start at once, each change of the cell map would end the
 	// watch of every box (five calls per box).
-	FirstWatch time.Duration
-	// TellRate limits the bytes of large changes that are sent per second, summed over all receiving boxes. Zero means
+	FirstWatchDelay time.Duration
+	// RelayRate limits the bytes of large changes that are sent per second, summed over all receiving boxes. Zero means
 	// defaultRelayRate.
-	TellRate float64
+	RelayRate float64
 	// Grace is how long missing objects are kept: those of expiring kinds after an outage, and those of all kinds after the
 	// store was restored from an older copy.
 	Grace time.Duration
@@ -119,7 +119,7 @@
 	relayedUntil   time.Time
 	lastReceivedAt time.Time
 	// lastRestore describes the last restore of the store that this box detected, lastRestoreAt is when it did.
-	lastRestore   Restored
+	lastRestore   RestoreStatus
 	lastRestoreAt time.Time
 	// lateChanges holds the changes that were applied later than the store made them.
 	lateChanges []lateChange
@@ -131,10 +131,10 @@
 // New returns a Follower. The caller must run Serve.
 func New(cfg Config) *Follower {
 	return &Follower{
-		hasProbingKind: slices.ContainsFunc(cfg.Kinds, func(k Kind) bool { return k.Probes }),
+		hasProbingKind: slices.ContainsFunc(cfg.Kinds, func(k Kind) bool { return k.ProbesLostStore }),
 		cfg:            cfg, done: make(chan struct{}), ready: make(chan struct{}),
 		store: newStoreState(cfg.Scope), statuses: map[string]*kindStatus{},
-		unlistedKinds: len(cfg.Kinds), relayLimiter: byteLimiter{rate: cmp.Or(cfg.TellRate, defaultRelayRate)},
+		unlistedKinds: len(cfg.Kinds), relayLimiter: byteLimiter{rate: cmp.Or(cfg.RelayRate, defaultRelayRate)},
 	}
 }
 
@@ -180,7 +180,7 @@
 			part.Sleep(ctx, relayCheckInterval)
 			continue
 		}
-		if f.hasProbingKind && !k.Probes && !relayed && f.store.isLost() {
+		if f.hasProbingKind && !k.ProbesLostStore && !relayed && f.store.isLost() {
 			part.Sleep(ctx, relayCheckInterval)
 			continue
 		}
@@ -192,7 +192,7 @@
 		began := clock.Now()
 		err := f.callOnce(ctx, k)
 		err = k.classifyResult(clock.Since(began), err)
-		pause := k.Pace - clock.Since(began)
+		pause := k.MinInterval - clock.Since(began)
 		f.recordCall(k.Name, err)
 		switch {
 		case err == nil:
@@ -228,15 +228,15 @@
 	}
 	k.wasRelayed = false
 	clear(k.missing)
-	known := f.Known()[k.Name]
+	known := f.KnownRevisions()[k.Name]
 	if k.listed = k.Relayed && known > 0; k.listed {
 		k.revision = known
 		k.addKnown(f.cfg.Catalog.Names(k.Name))
 		k.relistAt = time.Time{}
-		if len(k.With) > 0 {
+		if len(k.CompanionKinds) > 0 {
 			// Objects of companion kinds are not relayed and were dropped, so only a list restores them. Lists are charged per
 			// page, so the list waits until more heartbeats are missing than a single lost one explains.
-			k.relistAt = clock.Now().Add(k.Pace)
+			k.relistAt = clock.Now().Add(k.MinInterval)
 		}
 	}
 }
@@ -249,8 +249,8 @@
 	}
 	f.cfg.Scope.Counter("follow_watches").Inc(1)
 	wait := k.Wait
-	if k.TellWait > 0 && f.isRelaying(clock.Now()) {
-		wait = k.TellWait
+	if k.RelayingWait > 0 && f.isRelaying(clock.Now()) {
+		wait = k.RelayingWait
 	}
 	if untilDeletion, ok := k.untilNextDeletion(clock.Now()); ok {
 		wait = min(wait, untilDeletion)
@@ -286,7 +286,7 @@
 	f.recordConfirmed(k.Name, began)
 	k.listed, k.relistAt = true, time.Time{}
 	if f.recordListed(k.Name) {
-		k.firstWatchAt = clock.Now().Add(f.cfg.FirstWatch)
+		k.firstWatchAt = clock.Now().Add(f.cfg.FirstWatchDelay)
 	}
 	return nil
 }
@@ -325,7 +325,7 @@
 
 // outageGraceUntil returns until when missing objects of a kind are kept after an outage.
 func (f *Follower) outageGraceUntil(k *kindWatcher) time.Time {
-	if !k.Lapses {
+	if !k.MayExpire {
 		return time.Time{}
 	}
 	return f.store.lastOutageEnd().Add(f.cfg.Grace)
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -159,7 +159,7 @@
 		cat := catalog.New()
 		f := follow.New(follow.Config{Source: s, Catalog: cat, Scope: tally.NoopScope, Grace: grace, Kinds: []follow.Kind{
 			{Name: string(resource.KindRouting), Wait: time.Minute},
-			{Name: string(resource.KindEndpoint), Pace: pace, Wait: 2 * time.Second, Lapses: true},
+			{Name: string(resource.KindEndpoint), MinInterval: pace, Wait: 2 * time.Second, MayExpire: true},
 		}})
 		ctx, cancel := context.WithCancel(t.Context())
 		var group errgroup.Group
--- a/internal/follow/kind_watcher.go
+++ b/internal/follow/kind_watcher.go
@@ -43,7 +43,7 @@
 	k.relist = false
 	switch {
 	case errors.Is(err, errInterrupted):
-		k.relist = k.Probes
+		k.relist = k.ProbesLostStore
 		return err
 	case err == nil || errors.Is(err, objects.ErrGone):
 		k.watchCut = false
@@ -78,7 +78,7 @@
 		listed[o.Name] = true
 	}
 	for name := range k.knownNames {
-		if !listed[name] && !k.Ours {
+		if !listed[name] && !k.FleetOwned {
 			out.Objects = append(out.Objects, objects.Object{Kind: k.Name, Name: name, Version: list.Revision, Deleted: true})
 		}
 	}
@@ -132,7 +132,7 @@
 
 // appendDeletions appends the deletions of an object and of the companion objects with its name.
 func (k *kindWatcher) appendDeletions(changed []objects.Object, name string, version objects.Position) []objects.Object {
-	for _, kind := range append([]string{k.Name}, k.With...) {
+	for _, kind := range append([]string{k.Name}, k.CompanionKinds...) {
 		changed = append(changed, objects.Object{Kind: kind, Name: name, Version: version, Deleted: true})
 	}
 	return changed
--- a/internal/follow/kind_watcher_test.go
+++ b/internal/follow/kind_watcher_test.go
@@ -30,7 +30,7 @@
 			c := qt.New(t)
 			now := time.Unix(1000, 0)
 			graceUntil := now.Add(time.Second)
-			k := newKindWatcher(Kind{Name: kind, Lapses: true})
+			k := newKindWatcher(Kind{Name: kind, MayExpire: true})
 			k.processList(now, objects.Changes{Revision: 1, Objects: []objects.Object{{Kind: kind, Name: name, Version: 1}}}, time.Time{})
 			for _, a := range tt.answers {
 				for _, o := range k.processWatch(now, objects.Changes{Revision: a[len(a)-1].Version, Objects: a}, graceUntil).Objects {
--- a/internal/follow/narrow_link_test.go
+++ b/internal/follow/narrow_link_test.go
@@ -109,7 +109,7 @@
 	if !n.answering.Load() {
 		return
 	}
-	changes, age := n.sender.Since(b.Known())
+	changes, age := n.sender.ChangesSince(b.KnownRevisions())
 	reply, err := json.Marshal(coordinator.Reply{Updates: coordinator.Updates{Changes: changes, StoreAge: age}})
 	if err != nil {
 		panic(err)
@@ -124,7 +124,7 @@
 	if err := json.Unmarshal(reply, &r); err != nil {
 		panic(err)
 	}
-	b.Take(r.Changes, r.StoreAge)
+	b.ApplyChanges(r.Changes, r.StoreAge)
 }
 
 // boxesBehind returns how many boxes, including the relaying one, do not have a version.
--- a/internal/follow/relay_receive.go
+++ b/internal/follow/relay_receive.go
@@ -30,9 +30,9 @@
 	return f.statusOf(kind).needsCall
 }
 
-// Known returns the revisions up to which the kinds are known, for another box that sends the changes after them. Kinds that
+// KnownRevisions returns the revisions up to which the kinds are known, for another box that sends the changes after them. Kinds that
 // this box needs in full are left out.
-func (f *Follower) Known() map[string]objects.Position {
+func (f *Follower) KnownRevisions() map[string]objects.Position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := clock.Now()
@@ -55,8 +55,8 @@
 	return f.statusOf(kind).knownRevision
 }
 
-// Take applies changes from another box. As long as they arrive and the store answers the other box, this box makes no calls.
-func (f *Follower) Take(changes []objects.KindChanges, storeAge time.Duration) {
+// ApplyChanges applies changes from another box. As long as they arrive and the store answers the other box, this box makes no calls.
+func (f *Follower) ApplyChanges(changes []objects.KindChanges, storeAge time.Duration) {
 	f.requestFullAfterGap(clock.Now())
 	var kindsToCall []string
 	for _, ch := range changes {
@@ -66,7 +66,7 @@
 		}
 		kindsToCall = append(kindsToCall, ch.Kind)
 	}
-	if f.cfg.RelayFor == 0 || !f.IsReady() {
+	if f.cfg.RelayTimeout == 0 || !f.IsReady() {
 		return
 	}
 	now := clock.Now()
@@ -82,7 +82,7 @@
 		return
 	}
 	starting := !now.Before(f.relayedUntil)
-	f.relayedUntil = now.Add(f.cfg.RelayFor)
+	f.relayedUntil = now.Add(f.cfg.RelayTimeout)
 	f.markRelayedKindsAnswered(now.Add(-storeAge))
 	for _, kind := range kindsToCall {
 		if k := f.statusOf(kind); !k.needsCall {
@@ -123,7 +123,7 @@
 	}
 	for _, k := range f.cfg.Kinds {
 		status := f.statusOf(k.Name)
-		status.needsFull = status.needsFull || (k.Lapses && status.lastListedAt.Before(since))
+		status.needsFull = status.needsFull || (k.MayExpire && status.lastListedAt.Before(since))
 	}
 }
 
@@ -142,7 +142,7 @@
 func (f *Follower) dropCompanions() {
 	var drop objects.Changes
 	for _, k := range f.cfg.Kinds {
-		for _, kind := range k.With {
+		for _, kind := range k.CompanionKinds {
 			for _, name := range f.cfg.Catalog.Names(kind) {
 				drop.Objects = append(drop.Objects, objects.Object{Kind: kind, Name: name, Version: f.currentRevision(k.Name), Deleted: true})
 			}
@@ -202,7 +202,7 @@
 // to receive the same as from the original sender. These are deletions that were late at the sender, and objects that
 // reappeared there and are unchanged here.
 func (f *Follower) recordLateReceived(ch objects.KindChanges) {
-	isExpiring := slices.ContainsFunc(f.cfg.Kinds, func(k Kind) bool { return k.Name == ch.Kind && k.Lapses })
+	isExpiring := slices.ContainsFunc(f.cfg.Kinds, func(k Kind) bool { return k.Name == ch.Kind && k.MayExpire })
 	if !isExpiring || ch.IsFullList {
 		return
 	}
--- a/internal/follow/relay_send.go
+++ b/internal/follow/relay_send.go
@@ -28,7 +28,7 @@
 // appendLateDeletions adds the deletions of an expiring kind, and drops late changes that all boxes have been sent.
 func appendLateDeletions(late []lateChange, k *kindWatcher, ch objects.Changes, now time.Time) []lateChange {
 	late = dropExpired(late, now)
-	if !k.Lapses {
+	if !k.MayExpire {
 		return late
 	}
 	for _, o := range ch.Objects {
@@ -93,29 +93,29 @@
 	return true
 }
 
-// MayTell reports whether size bytes may be sent to another box now.
-func (f *Follower) MayTell(size int) bool {
+// MaySend reports whether size bytes may be sent to another box now.
+func (f *Follower) MaySend(size int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.relayLimiter.allow(clock.Now(), size)
 }
 
-// Since returns the changes after the known revisions, for another box, and the time since the store last answered. Data that
+// ChangesSince returns the changes after the known revisions, for another box, and the time since the store last answered. Data that
 // this box receives from another box keeps the age that it has there. The bytes sent per second are limited to what a link
 // carries easily. A box that cannot be sent all changes is asked to call the store itself. If it cannot reach the store, it is
 // sent the changes a little later.
-func (f *Follower) Since(known map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
+func (f *Follower) ChangesSince(known map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
 	var changes, callRequests []objects.KindChanges
 	f.recordRelaying(clock.Now())
 	age := f.relayedAge(clock.Now())
 	for _, k := range f.cfg.Kinds {
-		if f.MayTell(f.sizeSince(k, known[k.Name])) {
+		if f.MaySend(f.sizeSince(k, known[k.Name])) {
 			if ch, ok := f.kindSince(k, known[k.Name]); ok {
 				changes = append(changes, ch)
 			}
 			continue
 		}
-		if k.Lapses || len(k.With) > 0 {
+		if k.MayExpire || len(k.CompanionKinds) > 0 {
 			// Such a kind needs calls for a while, not just one.
 			return changes, max(age, forceCallsAge)
 		}
--- a/internal/follow/relay_test.go
+++ b/internal/follow/relay_test.go
@@ -75,9 +75,9 @@
 func newBoxWithSource(source follow.Source) *box {
 	b := &box{catalog: catalog.New()}
 	b.Follower = follow.New(follow.Config{
-		Source: source, Catalog: b.catalog, Scope: tally.NoopScope, Grace: grace, RelayFor: relayTimeout, Kinds: []follow.Kind{
+		Source: source, Catalog: b.catalog, Scope: tally.NoopScope, Grace: grace, RelayTimeout: relayTimeout, Kinds: []follow.Kind{
 			{Name: string(resource.KindRouting), Wait: 6 * time.Second, Relayed: true},
-			{Name: string(resource.KindEndpoint), Pace: pace, Wait: 700 * time.Millisecond, Lapses: true, Relayed: true, With: []string{string(resource.KindHolding)}},
+			{Name: string(resource.KindEndpoint), MinInterval: pace, Wait: 700 * time.Millisecond, MayExpire: true, Relayed: true, CompanionKinds: []string{string(resource.KindHolding)}},
 		},
 	})
 	return b
@@ -102,7 +102,7 @@
 		group.Go(func() error {
 			for ctx.Err() == nil {
 				if heartbeatsOn.Load() {
-					receiver.Take(sender.Since(receiver.Known()))
+					receiver.ApplyChanges(sender.ChangesSince(receiver.KnownRevisions()))
 				}
 				time.Sleep(heartbeatInterval)
 			}
@@ -199,7 +199,7 @@
 	}
 	sender := follow.New(follow.Config{Source: s, Catalog: catalog.New(), Scope: tally.NoopScope, Kinds: kinds})
 	received := catalog.New()
-	receiver := follow.New(follow.Config{Source: s, Catalog: received, Scope: tally.NoopScope, Kinds: kinds, RelayFor: relayTimeout})
+	receiver := follow.New(follow.Config{Source: s, Catalog: received, Scope: tally.NoopScope, Kinds: kinds, RelayTimeout: relayTimeout})
 	ctx, cancel := context.WithCancel(t.Context())
 	var group errgroup.Group
 	group.Go(func() error { return sender.Serve(ctx) })
@@ -208,7 +208,7 @@
 	stop := make(chan struct{})
 	relaying.Go(func() error {
 		for {
-			receiver.Take(sender.Since(receiver.Known()))
+			receiver.ApplyChanges(sender.ChangesSince(receiver.KnownRevisions()))
 			select {
 			case <-stop:
 				return nil
@@ -221,20 +221,20 @@
 		s.put(c, resource.KindEndpoint, fmt.Sprint("e", i), endpoint(1))
 		if i%50 == 0 {
 			// Lets the follower catch up now and then, so that it also applies changes one by one.
-			for sender.Known()[string(resource.KindEndpoint)] < s.newestRevision() {
+			for sender.KnownRevisions()[string(resource.KindEndpoint)] < s.newestRevision() {
 				time.Sleep(time.Microsecond)
 			}
 		}
 	}
-	for sender.Known()[string(resource.KindEndpoint)] < s.newestRevision() {
+	for sender.KnownRevisions()[string(resource.KindEndpoint)] < s.newestRevision() {
 		time.Sleep(time.Millisecond)
 	}
 	close(stop)
 	c.Assert(relaying.Wait(), qt.IsNil)
 	// The bytes sent per second are limited.
-	for deadline := time.Now().Add(time.Minute); receiver.Known()[string(resource.KindEndpoint)] < s.newestRevision(); {
+	for deadline := time.Now().Add(time.Minute); receiver.KnownRevisions()[string(resource.KindEndpoint)] < s.newestRevision(); {
 		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("not all changes were relayed"))
-		receiver.Take(sender.Since(receiver.Known()))
+		receiver.ApplyChanges(sender.ChangesSince(receiver.KnownRevisions()))
 		time.Sleep(time.Millisecond)
 	}
 	c.Check(len(received.Names(string(resource.KindEndpoint))), qt.Equals, changes)
--- a/internal/follow/start_test.go
+++ b/internal/follow/start_test.go
@@ -38,7 +38,7 @@
 				s.put(c, resource.KindEndpoint, "e0", endpoint(1))
 				source, cat := &cuttableSource{fakeStore: s}, catalog.New()
 				f := follow.New(follow.Config{
-					Source: source, Catalog: cat, Scope: tally.NoopScope, RelayFor: 3 * heartbeatInterval, FirstWatch: firstWatchDelay, Kinds: []follow.Kind{
+					Source: source, Catalog: cat, Scope: tally.NoopScope, RelayTimeout: 3 * heartbeatInterval, FirstWatchDelay: firstWatchDelay, Kinds: []follow.Kind{
 						{Name: string(resource.KindRouting), Wait: time.Second, Relayed: true}, {Name: string(resource.KindEndpoint), Wait: time.Second, Relayed: true},
 					},
 				})
@@ -50,7 +50,7 @@
 					time.Sleep(100 * time.Millisecond)
 					s.put(c, resource.KindRouting, catalog.RoutingName, routing(int64(i+2)))
 					if test.firstHeartbeat > 0 && time.Since(began) >= test.firstHeartbeat {
-						f.Take(nil, 0)
+						f.ApplyChanges(nil, 0)
 					}
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -84,7 +84,7 @@
 				s.put(c, resource.KindRouting, catalog.RoutingName, routing(1))
 				source := &cuttableSource{fakeStore: s}
 				f := follow.New(follow.Config{
-					Source: source, Catalog: catalog.New(), Scope: tally.NoopScope, RelayFor: 3 * heartbeatInterval, FirstWatch: time.Second, Kinds: []follow.Kind{
+					Source: source, Catalog: catalog.New(), Scope: tally.NoopScope, RelayTimeout: 3 * heartbeatInterval, FirstWatchDelay: time.Second, Kinds: []follow.Kind{
 						{Name: string(resource.KindRouting), Wait: time.Second, Relayed: true}, {Name: coordinator.MapKind, Wait: time.Second},
 					},
 				})
@@ -97,10 +97,10 @@
 				for _, kind := range test.callKinds {
 					changes = append(changes, objects.KindChanges{Kind: kind, MustRefetch: true})
 				}
-				f.Take(changes, 0)
+				f.ApplyChanges(changes, 0)
 				for range 20 {
 					time.Sleep(heartbeatInterval)
-					f.Take(nil, 0)
+					f.ApplyChanges(nil, 0)
 				}
 				c.Check(source.calls.Load()-before, qt.Equals, int64(len(test.callKinds)))
 				cancel()
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -180,7 +180,7 @@
 	b := coordinator.Beat{Member: self, Draining: draining, Sequence: n.nextSequence(), GrantsSum: coordinator.GrantsChecksum(n.lastGrants), Lease: n.leaseView.record.Epoch}
 	if n.cfg.Spread != nil && n.leaseView.record.Address != self.Peer.String() {
 		m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
-		b.Known, b.MapGeneration = n.cfg.Spread.Known(), m.Generation
+		b.Known, b.MapGeneration = n.cfg.Spread.KnownRevisions(), m.Generation
 	}
 	for name, g := range n.grants {
 		g.released = g.released || slices.Contains(released, name)
--- a/internal/member/forward.go
+++ b/internal/member/forward.go
@@ -160,7 +160,7 @@
 	out := coordinator.Batch{Box: n.cfg.Self.Box}
 	if n.cfg.Spread != nil {
 		m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
-		out.Known, out.MapGeneration = n.cfg.Spread.Known(), m.Generation
+		out.Known, out.MapGeneration = n.cfg.Spread.KnownRevisions(), m.Generation
 	}
 	for _, pending := range batch {
 		beat := pending.beat
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -201,9 +201,9 @@
 	SinceReply time.Duration `json:"since_reply"`
 	// Aggregator names the box that forwards this box's heartbeats. It is empty if they are sent directly to the coordinator.
 	Aggregator string `json:"aggregator,omitempty"`
-	// PassesOn is the number of heartbeats in the last batch that this box forwarded.
-	PassesOn int  `json:"passes_on,omitempty"`
-	Leaving  bool `json:"leaving"`
+	// ForwardedBeats is the number of heartbeats in the last batch that this box forwarded.
+	ForwardedBeats int  `json:"passes_on,omitempty"`
+	Leaving        bool `json:"leaving"`
 }
 
 // Status returns the present state of the node.
@@ -214,7 +214,7 @@
 	return Status{
 		Cell: n.cfg.Cell, Coordinator: n.leaseView.record.Holder, Coordinates: now.Before(n.leaseView.validUntil),
 		Frozen: n.frozen, SinceReply: now.Sub(n.lastReply), Leaving: n.leaving,
-		Aggregator: n.aggregator, PassesOn: n.lastBatchSize,
+		Aggregator: n.aggregator, ForwardedBeats: n.lastBatchSize,
 	}
 }
 
@@ -299,9 +299,9 @@
 	}
 }
 
-// HandedOver reports whether the cell map no longer names this box: neither as the owner of an engine nor as a previous owner that may still
+// IsHandedOver reports whether the cell map no longer names this box: neither as the owner of an engine nor as a previous owner that may still
 // have requests in flight.
-func (n *Node) HandedOver() bool {
+func (n *Node) IsHandedOver() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 	return !slices.ContainsFunc(m.Owners, func(o coordinator.Ownership) bool {
 		return o.Owner == n.cfg.Self.Box || o.Previous == n.cfg.Self.Box
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -12,17 +12,17 @@
 
 // Spread distributes changes with heartbeats, so that the platform's load does not grow with the number of boxes.
 type Spread interface {
-	// Known returns, for each kind that this box follows, the revision up to which it has the changes.
-	Known() map[string]objects.Position
-	// Since returns the changes that this box has beyond known, and the time since the store last answered it.
-	Since(known map[string]objects.Position) ([]objects.KindChanges, time.Duration)
-	// MayTell reports whether a message of size bytes may be sent to another box now. If not, that box has to read the change from the platform.
-	MayTell(size int) bool
-	// Take applies changes that the coordinator has sent.
-	Take(changes []objects.KindChanges, storeAge time.Duration)
-	// Confirmed returns the ages of this box's own data. Confirm applies the ages that another box returned to a request sent at askedAt.
-	Confirmed() map[string]objects.Confirmation
-	Confirm(ages map[string]objects.Confirmation, askedAt time.Time)
+	// KnownRevisions returns, for each kind that this box follows, the revision up to which it has the changes.
+	KnownRevisions() map[string]objects.Position
+	// ChangesSince returns the changes that this box has beyond known, and the time since the store last answered it.
+	ChangesSince(known map[string]objects.Position) ([]objects.KindChanges, time.Duration)
+	// MaySend reports whether a message of size bytes may be sent to another box now. If not, that box has to read the change from the platform.
+	MaySend(size int) bool
+	// ApplyChanges applies changes that the coordinator has sent.
+	ApplyChanges(changes []objects.KindChanges, storeAge time.Duration)
+	// Confirmations returns the ages of this box's own data. Confirm applies the ages that another box returned to a request sent at askedAt.
+	Confirmations() map[string]objects.Confirmation
+	ApplyConfirmations(ages map[string]objects.Confirmation, askedAt time.Time)
 }
 
 // addNews adds to a reply the changes that the receiving box does not have yet. The caller holds the lock.
@@ -30,14 +30,14 @@
 	if n.cfg.Spread == nil || known == nil {
 		return
 	}
-	news.Confirmed = n.cfg.Spread.Confirmed()
-	news.Changes, news.StoreAge = n.cfg.Spread.Since(known)
+	news.Confirmed = n.cfg.Spread.Confirmations()
+	news.Changes, news.StoreAge = n.cfg.Spread.ChangesSince(known)
 	delta, changed := n.history.Since(knownGeneration)
 	// The other box may have a later map than this coordinator: the write of that map may have succeeded without an answer.
 	if !changed {
 		return
 	}
-	if !n.cfg.Spread.MayTell(delta.Size()) {
+	if !n.cfg.Spread.MaySend(delta.Size()) {
 		news.Changes = append(news.Changes, objects.KindChanges{Kind: coordinator.MapKind, MustRefetch: true})
 		return
 	}
@@ -50,8 +50,8 @@
 	if n.cfg.Spread == nil {
 		return
 	}
-	n.cfg.Spread.Take(news.Changes, news.StoreAge)
-	n.cfg.Spread.Confirm(news.Confirmed, sentAt)
+	n.cfg.Spread.ApplyChanges(news.Changes, news.StoreAge)
+	n.cfg.Spread.ApplyConfirmations(news.Confirmed, sentAt)
 	if news.Map == nil {
 		return
 	}
--- a/internal/member/spread_test.go
+++ b/internal/member/spread_test.go
@@ -16,21 +16,23 @@
 // fakeSpread distributes no changes. If refuse is set, it permits only small messages.
 type fakeSpread struct{ refuse atomic.Bool }
 
-func (s *fakeSpread) Known() map[string]objects.Position { return map[string]objects.Position{} }
+func (s *fakeSpread) KnownRevisions() map[string]objects.Position {
+	return map[string]objects.Position{}
+}
 
-func (s *fakeSpread) Since(map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
+func (s *fakeSpread) ChangesSince(map[string]objects.Position) ([]objects.KindChanges, time.Duration) {
 	return nil, 0
 }
 
-func (s *fakeSpread) MayTell(size int) bool { return size < 1000 || !s.refuse.Load() }
+func (s *fakeSpread) MaySend(size int) bool { return size < 1000 || !s.refuse.Load() }
 
-func (s *fakeSpread) Take([]objects.KindChanges, time.Duration) {}
+func (s *fakeSpread) ApplyChanges([]objects.KindChanges, time.Duration) {}
 
-// Confirmed implements member.Spread.
-func (s *fakeSpread) Confirmed() map[string]objects.Confirmation { return nil }
+// Confirmations implements member.Spread.
+func (s *fakeSpread) Confirmations() map[string]objects.Confirmation { return nil }
 
-// Confirm implements member.Spread.
-func (s *fakeSpread) Confirm(map[string]objects.Confirmation, time.Time) {}
+// ApplyConfirmations implements member.Spread.
+func (s *fakeSpread) ApplyConfirmations(map[string]objects.Confirmation, time.Time) {}
 
 // TestMapUpdatesAreBounded sends a coordinator heartbeats of boxes that have maps of different generations. It checks which boxes are sent a
 // map, and that others are asked to read it from the platform if the message would be too large.
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -44,7 +44,7 @@
 	// Notices holds the other reports of endpoints: that they are leaving, or that they need a pause.
 	Notices *notice.Board
 	// Restored returns details of the store's last restore from an older copy. It is nil on boxes that do not use package follow.
-	Restored func() follow.Restored
+	Restored func() follow.RestoreStatus
 	Scope    tally.Scope
 }
 
@@ -80,7 +80,7 @@
 	LeavingEndpoints []notice.Left    `json:"left,omitempty"`
 	PausedEndpoints  []notice.Resting `json:"rests,omitempty"`
 	// LastRestore describes the last restore of the store from an older copy; nil if this box has seen none.
-	LastRestore *follow.Restored `json:"restored,omitempty"`
+	LastRestore *follow.RestoreStatus `json:"restored,omitempty"`
 }
 
 // Handler returns the HTTP handler of the operator API.
@@ -122,7 +122,7 @@
 	})
 }
 
-func (o *Operator) lastRestore() *follow.Restored {
+func (o *Operator) lastRestore() *follow.RestoreStatus {
 	if o.cfg.Restored == nil {
 		return nil
 	}
