--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -247,13 +247,13 @@
 	s := b.cfg.Settings
 	b.gateway = gateway.New(gateway.Config{
 		Box: s.Box.Name, Catalog: b.catalog, Owners: b.owners, Record: records, Scope: b.metrics.Scope, NewID: rand.Text,
-		Engines:      b.engines,
-		Hop:          &http.Client{Transport: httpx.NewTransport(connsPerPeer)},
-		Services:     &http.Client{Transport: httpx.NewTransport(connsPerService), CheckRedirect: noRedirect},
-		ServicesOnce: &http.Client{Transport: httpx.NewOnceTransport(), CheckRedirect: noRedirect},
+		Engines:              b.engines,
+		PeerClient:           &http.Client{Transport: httpx.NewTransport(connsPerPeer)},
+		Services:             &http.Client{Transport: httpx.NewTransport(connsPerService), CheckRedirect: noRedirect},
+		UnrepeatableServices: &http.Client{Transport: httpx.NewOnceTransport(), CheckRedirect: noRedirect},
 		Limits: gateway.Limits{
 			BodyBytes: s.Request.BodyBytes, BodyTime: s.Request.BodyTime, DefaultWait: s.Request.DefaultWait,
-			Longest: s.Request.Longest, LocateKeep: s.Request.LocateKeep,
+			MaxDuration: s.Request.Longest, LocateTTL: s.Request.LocateKeep,
 		},
 		Ready: b.feed.IsReady, Leaving: func() bool { return b.node.Leaving() }, Quarantine: b.quarantine, Places: b.places, Rates: b.rates, Notices: b.notices,
 	})
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -33,7 +33,7 @@
 	}
 	defer endRequest()
 	j.suspect = newSuspect(r, j.cooperative, j.body)
-	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.Longest)
+	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.MaxDuration)
 	defer cancel()
 	a, rerr := g.runJob(ctx, j)
 	if rerr != nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -28,10 +28,10 @@
 	BodyTime  time.Duration
 	// DefaultWait is how long a request may wait for its start if neither the request nor its priority sets a time.
 	DefaultWait time.Duration
-	// Longest is the maximum duration of a whole request.
-	Longest time.Duration
-	// LocateKeep is how long callers may cache a locate response.
-	LocateKeep time.Duration
+	// MaxDuration is the maximum duration of a whole request.
+	MaxDuration time.Duration
+	// LocateTTL is how long callers may cache a locate response.
+	LocateTTL time.Duration
 }
 
 // unresponsiveTime is how long a box that did not answer is tried after all others.
@@ -44,12 +44,12 @@
 	Catalog *catalog.Catalog
 	Owners  *owner.Set
 	Engines *engine.Client
-	// Hop is the client for requests to other boxes. Its transport must wait for 100 Continue before it sends a body.
-	Hop *http.Client
+	// PeerClient is the client for requests to other boxes. Its transport must wait for 100 Continue before it sends a body.
+	PeerClient *http.Client
 	// Services is the client for calls of services, ServicesOnce the client for those calls that must not be repeated.
-	Services     *http.Client
-	ServicesOnce *http.Client
-	Limits       Limits
+	Services             *http.Client
+	UnrepeatableServices *http.Client
+	Limits               Limits
 	// Quarantine refuses requests that have crashed back ends before.
 	Quarantine *quarantine.Client
 	// Places limits the concurrent calls of all boxes to the addresses of services.
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -123,7 +123,7 @@
 	req.ContentLength = size
 	req.Header.Set("Expect", "100-continue")
 	req.Header.Set(headerHop, string(head))
-	resp, err := g.cfg.Hop.Do(req)
+	resp, err := g.cfg.PeerClient.Do(req)
 	if err != nil {
 		if !watchdog.Stop() || !errors.Is(err, context.Canceled) {
 			g.unresponsive.Add(e.Owner.Box, clock.Now())
@@ -163,7 +163,7 @@
 		rerr.Write(w, "")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.Longest)
+	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.MaxDuration)
 	defer cancel()
 	if rerr := g.checkRest(runner.Name()); rerr != nil {
 		rerr.Write(w, j.requestID)
--- a/internal/gateway/locate.go
+++ b/internal/gateway/locate.go
@@ -14,8 +14,8 @@
 // maxAddresses is the maximum number of addresses in a locate response.
 const maxAddresses = 3
 
-// Located is the response to GET /locate.
-type Located struct {
+// LocateResponse is the response to GET /locate.
+type LocateResponse struct {
 	// Addresses lists the addresses to send the request to, best first.
 	Addresses []string `json:"addresses"`
 	// KeepSeconds is how long the response may be cached.
@@ -29,7 +29,7 @@
 		g.refuse(w, "", rerr)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, Located{addresses, int(g.cfg.Limits.LocateKeep.Seconds())})
+	httpx.WriteJSON(w, http.StatusOK, LocateResponse{addresses, int(g.cfg.Limits.LocateTTL.Seconds())})
 }
 
 // locate returns the addresses of boxes for a model or, if service is not empty, for a service.
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -195,7 +195,7 @@
 	req.GetBody = nil
 	client := g.cfg.Services
 	if !c.repeatable {
-		client = g.cfg.ServicesOnce
+		client = g.cfg.UnrepeatableServices
 	}
 	sent := httpx.TraceSent(req)
 	resp, err := client.Do(sent.Request)
