--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -58,8 +58,8 @@
 // printRequest prints one request and its attempts. Write errors are returned later by Flush of the tabwriter.
 func printRequest(w *tabwriter.Writer, r record.Request) {
 	_, _ = fmt.Fprintf(w, "request %s\t%s\turgency %d\t%d %s\ttook %s\twaited %s for its adapter\n",
-		r.ID, r.Adapter, r.Urgency, r.Result, r.Result, r.Took.Round(time.Microsecond), r.Stalled.Round(time.Microsecond))
+		r.ID, r.Adapter, r.Urgency, r.Result, r.Result, r.Duration.Round(time.Microsecond), r.AdapterWait.Round(time.Microsecond))
 	for _, t := range r.Tries {
-		_, _ = fmt.Fprintf(w, "  after %s\t%s\tby %s\t%s\t%s\n", t.After.Round(time.Microsecond), t.Engine, t.Box, t.Result, t.Detail)
+		_, _ = fmt.Fprintf(w, "  after %s\t%s\tby %s\t%s\t%s\n", t.Elapsed.Round(time.Microsecond), t.Engine, t.Box, t.Result, t.Detail)
 	}
 }
--- a/internal/gateway/completion.go
+++ b/internal/gateway/completion.go
@@ -81,7 +81,7 @@
 		g.cfg.Scope.Timer("stalled").Record(adapterWait)
 	}
 	j.entry.ID, j.entry.RunID, j.entry.Adapter, j.entry.Urgency = j.requestID, j.runID, j.ref.String(), j.urgency
-	j.entry.Stalled, j.entry.Result, j.entry.Took = adapterWait, code, clock.Since(receivedAt)
+	j.entry.AdapterWait, j.entry.Result, j.entry.Duration = adapterWait, code, clock.Since(receivedAt)
 	g.cfg.Record.Add(j.entry)
 	klog.V(2).InfoS("request", "request", j.requestID, "run", j.runID, "adapter", j.ref.String(), "engine", engineName,
 		"owner", box, "result", int(code), "stalled", adapterWait, "took", clock.Since(receivedAt))
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -22,8 +22,8 @@
 	// Result is the name of the result code, Detail the reason for an error.
 	Result string `json:"result"`
 	Detail string `json:"detail,omitempty"`
-	// After is the time from the arrival of the request to the end of the try.
-	After time.Duration `json:"after"`
+	// Elapsed is the time from the arrival of the request to the end of the try.
+	Elapsed time.Duration `json:"after"`
 }
 
 // Request describes how one request was handled. It contains no part of the request body.
@@ -34,16 +34,16 @@
 	Urgency    int       `json:"urgency"`
 	ReceivedAt time.Time `json:"came"`
 	Tries      []Try     `json:"tries"`
-	// Stalled is how long the request waited for its adapter to be loaded.
-	Stalled time.Duration `json:"stalled"`
-	Result  result.Code   `json:"result"`
-	Took    time.Duration `json:"took"`
+	// AdapterWait is how long the request waited for its adapter to be loaded.
+	AdapterWait time.Duration `json:"stalled"`
+	Result      result.Code   `json:"result"`
+	Duration    time.Duration `json:"took"`
 }
 
 // AddTry adds a try, up to a limit.
 func (r *Request) AddTry(t Try) {
 	if len(r.Tries) < maxTries {
-		t.After = time.Since(r.ReceivedAt)
+		t.Elapsed = time.Since(r.ReceivedAt)
 		r.Tries = append(r.Tries, t)
 	}
 }
