--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -81,7 +81,7 @@
 
 // Serve lists and watches until ctx ends.
 func (f *Feed) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, f.done)
+	defer part.CloseIfEnded(ctx, f.done)
 	backoff := pollInterval
 	for ctx.Err() == nil {
 		pause := pollInterval
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -156,7 +156,7 @@
 
 // Serve keeps the catalog up to date until ctx ends.
 func (f *Follower) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, f.done)
+	defer part.CloseIfEnded(ctx, f.done)
 	var group errgroup.Group
 	for _, k := range f.cfg.Kinds {
 		group.Go(func() error {
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -54,7 +54,7 @@
 
 // Serve sends queued messages until ctx is canceled.
 func (g *Gatherer[K, T]) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, g.done)
+	defer part.CloseIfEnded(ctx, g.done)
 	var calls errgroup.Group
 	// The calls return no errors, so Wait returns none.
 	defer func() { _ = calls.Wait() }()
--- a/internal/loads/local.go
+++ b/internal/loads/local.go
@@ -40,7 +40,7 @@
 
 // Serve grants permits until ctx ends.
 func (l *Local) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, l.done)
+	defer part.CloseIfEnded(ctx, l.done)
 	for {
 		wait, hasNext := l.grantPermits()
 		var timer <-chan time.Time
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -59,7 +59,7 @@
 
 // Serve writes lines until ctx ends, then what still waits.
 func (s *Sink) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, s.done)
+	defer part.CloseIfEnded(ctx, s.done)
 	tell := time.NewTicker(tellEvery)
 	defer tell.Stop()
 	for {
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -251,7 +251,7 @@
 
 // Serve sends heartbeats until ctx ends, and coordinates the cell while this box holds the lease.
 func (n *Node) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, n.done)
+	defer part.CloseIfEnded(ctx, n.done)
 	n.delayFirstRound(ctx)
 	for ctx.Err() == nil {
 		n.runRound(ctx)
--- a/internal/notice/client.go
+++ b/internal/notice/client.go
@@ -102,7 +102,7 @@
 
 // Serve sends reports and compares with other boxes until ctx ends.
 func (c *Client) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, c.done)
+	defer part.CloseIfEnded(ctx, c.done)
 	var group errgroup.Group
 	group.Go(func() error { return c.batcher.Serve(ctx) })
 	c.catchUp(ctx)
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// CloseAtEnd closes done if ctx has ended. It is meant to be deferred in the Serve method of a supervised component.
+// CloseIfEnded closes done if ctx has ended. It is meant to be deferred in the Serve method of a supervised component.
 // If Serve returns while ctx is valid, done stays open, because the supervisor restarts the component.
-func CloseAtEnd(ctx context.Context, done chan struct{}) {
+func CloseIfEnded(ctx context.Context, done chan struct{}) {
 	if ctx.Err() != nil {
 		close(done)
 	}
--- a/internal/quarantine/client.go
+++ b/internal/quarantine/client.go
@@ -297,7 +297,7 @@
 // Serve sends cleared cases, reports held requests that are missing from the cell map, and removes expired cases until ctx is
 // done.
 func (c *Client) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, c.done)
+	defer part.CloseIfEnded(ctx, c.done)
 	var group errgroup.Group
 	group.Go(func() error { return c.clearedQueue.Serve(ctx) })
 	for part.Sleep(ctx, repairInterval) {
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -43,7 +43,7 @@
 
 // Serve writes lost objects back until ctx ends.
 func (r *Repair) Serve(ctx context.Context) error {
-	defer part.CloseAtEnd(ctx, r.done)
+	defer part.CloseIfEnded(ctx, r.done)
 	tick := time.NewTicker(interval)
 	defer tick.Stop()
 	for {
