--- a/internal/box/accountable.go
+++ b/internal/box/accountable.go
@@ -48,8 +48,8 @@
 	return &accountable{cfg: cfg, startedAt: clock.Now()}
 }
 
-// For implements quota.Accountable.
-func (a *accountable) For(name string) (address netip.AddrPort, here, ok bool) {
+// BoxFor implements quota.Accountable.
+func (a *accountable) BoxFor(name string) (address netip.AddrPort, here, ok bool) {
 	m, ok := a.choose(name)
 	if !ok {
 		return netip.AddrPort{}, false, false
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -116,7 +116,7 @@
 	b.keeper = places.NewKeeper(mathrand.Uint64())
 	b.places = places.NewClient(places.ClientConfig{
 		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
-		Keepers: newAccountable(accountableConfig{
+		Locator: newAccountable(accountableConfig{
 			Box: cfg.Settings.Box.Name, Beat: cfg.Settings.Timing.Beat, Catalog: b.catalog, Membership: func() member.Status { return b.node.Status() },
 		}),
 	})
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -130,7 +130,7 @@
 	b.buildNotices()
 	b.keeper = places.NewKeeper(mathrand.Uint64())
 	b.places = places.NewClient(places.ClientConfig{
-		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Keepers: b.accountable, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
+		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Locator: b.accountable, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
 	})
 	b.follower = follow.New(follow.Config{
 		Source: cfg.Deployment.Source, Catalog: b.catalog, Kinds: followedKinds(cfg.Settings.Customers), Grace: cfg.Settings.Platform.LapseGrace, Scope: b.metrics.Scope,
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -145,7 +145,7 @@
 			summary.add(rerr)
 			continue
 		}
-		place, refusal := g.cfg.Places.Take(ctx, places.Ask{Endpoint: name, Slots: places.AnySlots, Hold: time.Duration(s.Timeout)})
+		place, refusal := g.cfg.Places.Acquire(ctx, places.Request{Endpoint: name, Slots: places.UnlimitedSlots, Hold: time.Duration(s.Timeout)})
 		if place == nil {
 			shortestWait = min(shortestWait, refusal.Wait)
 			summary.add(result.New(result.RateLimited, "%s", name))
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -35,14 +35,14 @@
 // Locator finds the keeper of an endpoint, which is the box that counts its requests. The interface separates this package from
 // cluster membership.
 type Locator interface {
-	// For returns the address of the keeper and whether the keeper is this box. ok is false if the endpoint has no keeper.
-	For(endpoint string) (address netip.AddrPort, here, ok bool)
+	// BoxFor returns the address of the keeper and whether the keeper is this box. ok is false if the endpoint has no keeper.
+	BoxFor(endpoint string) (address netip.AddrPort, here, ok bool)
 }
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
 	HTTP    *http.Client
-	Keepers Locator
+	Locator Locator
 	// Keeper counts the requests at the endpoints that this box is responsible for.
 	Keeper *Keeper
 	// Rates holds the rate limits of endpoints that are known to this box.
@@ -83,15 +83,15 @@
 type Refusal struct {
 	// Wait is the time after which the request may be retried.
 	Wait time.Duration
-	// Limited is true if the endpoint's rate limit is exhausted, and false if the endpoint has too many requests in progress.
-	Limited bool
+	// RateLimited is true if the endpoint's rate limit is exhausted, and false if the endpoint has too many requests in progress.
+	RateLimited bool
 }
 
-// Take acquires a place for one request. The Place is nil if the request was refused. While no keeper is available, only this
+// Acquire acquires a place for one request. The Place is nil if the request was refused. While no keeper is available, only this
 // box's own share of the endpoint's rate limits the requests.
-func (c *Client) Take(ctx context.Context, a Ask) (*Place, Refusal) {
+func (c *Client) Acquire(ctx context.Context, a Request) (*Place, Refusal) {
 	a.Rate = c.knownRate(a)
-	address, here, ok := c.cfg.Keepers.For(a.Endpoint)
+	address, here, ok := c.cfg.Locator.BoxFor(a.Endpoint)
 	if !ok || (!here && c.unresponsive.Has(address, clock.Now())) {
 		return c.acquireUncounted(a)
 	}
@@ -115,7 +115,7 @@
 }
 
 // knownRate returns the latest known rate limit of the endpoint, or nil if none is known.
-func (c *Client) knownRate(a Ask) *ratelimit.Word {
+func (c *Client) knownRate(a Request) *ratelimit.Word {
 	if !c.cfg.Rates.Any() {
 		return nil
 	}
@@ -123,20 +123,20 @@
 }
 
 // acquireUncounted acquires a place without a keeper, limited only by this box's own share of the endpoint's rate.
-func (c *Client) acquireUncounted(a Ask) (*Place, Refusal) {
+func (c *Client) acquireUncounted(a Request) (*Place, Refusal) {
 	if wait, ok := c.cfg.Rates.TakeLone(clock.Now(), a.Endpoint, a.Started); !ok {
-		return nil, Refusal{Wait: wait, Limited: true}
+		return nil, Refusal{Wait: wait, RateLimited: true}
 	}
 	return &Place{End: func(time.Duration) {}}, Refusal{}
 }
 
 // placeOrRefusal converts the keeper's answer to a place or a refusal.
-func (c *Client) placeOrRefusal(a Ask, answer Answer, end func(EndReport)) (*Place, Refusal) {
+func (c *Client) placeOrRefusal(a Request, answer Answer, end func(EndReport)) (*Place, Refusal) {
 	if !answer.Granted {
 		if answer.RateLimited {
 			c.cfg.Scope.Counter("rate_refused").Inc(1)
 		}
-		return nil, Refusal{Wait: answer.Wait, Limited: answer.RateLimited}
+		return nil, Refusal{Wait: answer.Wait, RateLimited: answer.RateLimited}
 	}
 	return &Place{End: func(latency time.Duration) {
 		end(EndReport{Endpoint: a.Endpoint, ID: answer.ID, Latency: latency, Rate: c.knownRate(a)})
@@ -144,7 +144,7 @@
 }
 
 // requestPlace sends the request to the keeper at address. A keeper that does not answer is skipped for unresponsivePeriod.
-func (c *Client) requestPlace(ctx context.Context, address netip.AddrPort, a Ask) (Answer, error) {
+func (c *Client) requestPlace(ctx context.Context, address netip.AddrPort, a Request) (Answer, error) {
 	callCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	var answer Answer
--- a/internal/places/keeper.go
+++ b/internal/places/keeper.go
@@ -27,13 +27,13 @@
 	maxHold = time.Minute
 )
 
-// Ask is the message by which a box requests a place at an endpoint for one request.
-type Ask struct {
+// Request is the message by which a box requests a place at an endpoint for one request.
+type Request struct {
 	Endpoint string `json:"endpoint"`
 	// Slots is the number of requests that the endpoint runs at the same time.
 	Slots int `json:"slots"`
-	// Within is the time within which the response has its full value.
-	Within time.Duration `json:"within"`
+	// MaxLatency is the time within which the response has its full value.
+	MaxLatency time.Duration `json:"within"`
 	// Hold is the longest duration of the request.
 	Hold time.Duration `json:"hold"`
 	// Urgency is higher for requests that take precedence. Customer owns the request.
@@ -45,8 +45,8 @@
 	Rate    *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// AnySlots is the value of Ask.Slots for endpoints that do not declare how many requests they run at the same time.
-const AnySlots = math.MaxInt32
+// UnlimitedSlots is the value of Ask.Slots for endpoints that do not declare how many requests they run at the same time.
+const UnlimitedSlots = math.MaxInt32
 
 // Answer is the response to an Ask. It grants a place or contains the wait before the next attempt.
 type Answer struct {
@@ -106,7 +106,7 @@
 
 // Acquire grants a place if the endpoint has a free slot or its response is expected in time, and if its rate limit allows the
 // request.
-func (k *Keeper) Acquire(now time.Time, a Ask) Answer {
+func (k *Keeper) Acquire(now time.Time, a Request) Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.getOrCreate(now, a.Endpoint)
@@ -115,7 +115,7 @@
 	c.slots = max(1, a.Slots)
 	c.expirePlaces(now)
 	concurrency := len(c.held) + 1
-	if concurrency > c.slots && !c.isInTime(concurrency, a.Within) {
+	if concurrency > c.slots && !c.isInTime(concurrency, a.MaxLatency) {
 		interval := c.serviceTime / time.Duration(c.slots)
 		return Answer{Wait: max(c.serviceTime, c.retryTurns.NextDelay(now, interval, maxWait)), Rate: c.limiter.Word(now)}
 	}
--- a/internal/places/keeper_test.go
+++ b/internal/places/keeper_test.go
@@ -89,7 +89,7 @@
 		result.total++
 		var place *Answer
 		if isCounted {
-			a := k.Acquire(now, Ask{Endpoint: "e", Slots: slotCount, Within: maxLatency, Hold: 3 * time.Second})
+			a := k.Acquire(now, Request{Endpoint: "e", Slots: slotCount, MaxLatency: maxLatency, Hold: 3 * time.Second})
 			if !a.Granted {
 				result.refused++
 				continue
@@ -127,7 +127,7 @@
 func TestRefusedRequestsRetryAtDifferentTimes(t *testing.T) {
 	c := qt.New(t)
 	k := NewKeeper(0)
-	ask := Ask{Endpoint: "e", Slots: slotCount, Within: maxLatency, Hold: time.Minute}
+	ask := Request{Endpoint: "e", Slots: slotCount, MaxLatency: maxLatency, Hold: time.Minute}
 	first := k.Acquire(base, ask)
 	k.End(EndReport{Endpoint: "e", ID: first.ID, Latency: 60 * time.Millisecond})
 	waits := map[time.Duration]bool{}
@@ -150,7 +150,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				hold := time.Duration(rapid.IntRange(1, 3000).Draw(t, "hold")) * time.Millisecond
-				a := k.Acquire(now, Ask{Endpoint: "e", Slots: slotCount, Within: time.Duration(rapid.IntRange(-100, 400).Draw(t, "within")) * time.Millisecond, Hold: hold})
+				a := k.Acquire(now, Request{Endpoint: "e", Slots: slotCount, MaxLatency: time.Duration(rapid.IntRange(-100, 400).Draw(t, "within")) * time.Millisecond, Hold: hold})
 				if !a.Granted {
 					if len(held) < slotCount {
 						t.Fatalf("request refused with %d of %d slots in use", len(held), slotCount)
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -32,7 +32,7 @@
 }
 
 func (s *Server) handleTake(w http.ResponseWriter, r *http.Request) {
-	var a Ask
+	var a Request
 	if !result.ReadJSON(w, r, maxMessageBytes, &a) {
 		return
 	}
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -32,9 +32,9 @@
 
 // Accountable provides the box that is currently accountable for a customer. It separates this package from the membership.
 type Accountable interface {
-	// For returns the address of the box that is accountable for a customer, and whether it is this box. ok is false if no box is
+	// BoxFor returns the address of the box that is accountable for a customer, and whether it is this box. ok is false if no box is
 	// accountable.
-	For(name string) (address netip.AddrPort, here, ok bool)
+	BoxFor(name string) (address netip.AddrPort, here, ok bool)
 	// Boxes returns the number of boxes, or zero if it is unknown.
 	Boxes() int
 }
@@ -130,7 +130,7 @@
 
 // request takes units from the accountable box. A box that did not answer is not called again for unresponsivePause.
 func (c *Client) request(ctx context.Context, cust *customer.Customer, req TakeRequest) (TakeReply, error) {
-	address, here, ok := c.cfg.Accountable.For(cust.Name)
+	address, here, ok := c.cfg.Accountable.BoxFor(cust.Name)
 	switch {
 	case !ok:
 		return TakeReply{}, eris.New("quota: no box is accountable")
--- a/internal/quota/server.go
+++ b/internal/quota/server.go
@@ -37,7 +37,7 @@
 		return
 	}
 	cust, known := s.cfg.Customer(req.Customer)
-	if _, here, ok := s.cfg.Accountable.For(req.Customer); !known || !ok || !here {
+	if _, here, ok := s.cfg.Accountable.BoxFor(req.Customer); !known || !ok || !here {
 		result.New(result.NotAccountable, "%s", req.Customer).Write(w, "")
 		return
 	}
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -17,8 +17,8 @@
 // soleBoxCell is a cell with a single box, which is accountable for all customers.
 type soleBoxCell struct{}
 
-func (soleBoxCell) For(string) (netip.AddrPort, bool, bool) { return netip.AddrPort{}, true, true }
-func (soleBoxCell) Boxes() int                              { return 1 }
+func (soleBoxCell) BoxFor(string) (netip.AddrPort, bool, bool) { return netip.AddrPort{}, true, true }
+func (soleBoxCell) Boxes() int                                 { return 1 }
 
 // BenchmarkCustomer measures the cost per request of customer identification and quotas, without the call to the
 // accountable box. The cost consists of the key's digest, its lookups when the request arrives and before it is sent,
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -97,11 +97,11 @@
 			q.rateLimited.add(0)
 			continue
 		}
-		place, refusal := r.cfg.Places.Take(ctx, r.newPlaceAsk(q, e))
+		place, refusal := r.cfg.Places.Acquire(ctx, r.newPlaceAsk(q, e))
 		switch {
 		case place != nil:
 			return e, place, nil
-		case refusal.Limited:
+		case refusal.RateLimited:
 			q.recordTry(e.Name, result.RateLimited.String())
 			q.rateLimited.add(refusal.Wait)
 			r.markRateExhausted(q, e.Name)
@@ -113,13 +113,13 @@
 }
 
 // newPlaceAsk returns the request for a place, which goes to the box that counts the requests at the endpoint.
-func (r *Relay) newPlaceAsk(q *request, e catalog.EndpointView) places.Ask {
-	a := places.Ask{
-		Endpoint: e.Name, Started: e.Spec.Started, Slots: e.Spec.Slots, Within: shareOf(q.route.Objective, plainAnswerShare) - clock.Since(q.receivedAt), Hold: q.timeLeft(),
+func (r *Relay) newPlaceAsk(q *request, e catalog.EndpointView) places.Request {
+	a := places.Request{
+		Endpoint: e.Name, Started: e.Spec.Started, Slots: e.Spec.Slots, MaxLatency: shareOf(q.route.Objective, plainAnswerShare) - clock.Since(q.receivedAt), Hold: q.timeLeft(),
 		Urgency: q.urgency(), Customer: q.customerName(),
 	}
 	if !r.cfg.Policy.On(policy.Places) {
-		a.Slots = places.AnySlots
+		a.Slots = places.UnlimitedSlots
 	}
 	return a
 }
