--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -133,7 +133,7 @@
 		}
 		return nil, result.New(result.BackendUnreachable, "box %s: %v", e.Owner.Box, err)
 	}
-	if w := grant.ToldRate(resp.Header); w != nil {
+	if w := grant.RateFromHeader(resp.Header); w != nil {
 		g.cfg.Rates.Heard(clock.Now(), e.Name, *w)
 	}
 	if resp.StatusCode == http.StatusOK {
@@ -169,8 +169,8 @@
 		rerr.Write(w, j.requestID)
 		return
 	}
-	granted, rerr := grant.AcquireAlive(ctx, w, runner, j.ownerRequest(), keepaliveInterval)
-	grant.TellRate(w.Header(), runner.Rate())
+	granted, rerr := grant.AcquireWithKeepalive(ctx, w, runner, j.ownerRequest(), keepaliveInterval)
+	grant.SetRateHeader(w.Header(), runner.Rate())
 	if rerr != nil {
 		rerr.Write(w, j.requestID)
 		return
--- a/internal/grant/client.go
+++ b/internal/grant/client.go
@@ -78,7 +78,7 @@
 
 // Acquire waits for a grant from the owner at address. If it fails, the request has not run and the error is a *result.Error.
 // The code OwnerSilent means that the owner did not send a valid response.
-func (c *Client) Acquire(ctx context.Context, address netip.AddrPort, a Ask) (*Grant, error) {
+func (c *Client) Acquire(ctx context.Context, address netip.AddrPort, a Request) (*Grant, error) {
 	body, err := json.Marshal(a)
 	if err != nil {
 		return nil, result.New(result.BadRequest, "%v", err)
@@ -106,14 +106,14 @@
 		return nil, result.New(result.OwnerSilent, "%v", err)
 	}
 	defer httpx.Drain(resp.Body)
-	if w := ToldRate(resp.Header); w != nil {
+	if w := RateFromHeader(resp.Header); w != nil {
 		c.cfg.Rates.Heard(clock.Now(), a.Engine, *w)
 	}
 	return c.readAnswer(resp, address)
 }
 
-// ToldRate returns the engine's rate limit from the response header of its owner, or nil if the header is missing or invalid.
-func ToldRate(h http.Header) *ratelimit.Word {
+// RateFromHeader returns the engine's rate limit from the response header of its owner, or nil if the header is missing or invalid.
+func RateFromHeader(h http.Header) *ratelimit.Word {
 	encoded := h.Get(headerRate)
 	if encoded == "" {
 		return nil
@@ -126,8 +126,8 @@
 	return w
 }
 
-// TellRate queues the rate limit that an engine reported, to be sent to its owner at address.
-func (c *Client) TellRate(address netip.AddrPort, engine string, w ratelimit.Word) {
+// QueueRate queues the rate limit that an engine reported, to be sent to its owner at address.
+func (c *Client) QueueRate(address netip.AddrPort, engine string, w ratelimit.Word) {
 	c.queueUpdate(grantUpdate{address: address, rate: &engineRate{engine, w}})
 }
 
@@ -148,9 +148,9 @@
 		return nil, result.New(result.OwnerSilent, "%v", err)
 	}
 	return &Grant{
-		Stalled: answer.Stalled,
-		Read:    func() { c.queueUpdate(grantUpdate{address: address, end: grantEnd{ID: answer.ID}, firstToken: true}) },
-		End:     func(e owner.End) { c.queueUpdate(grantUpdate{address: address, end: grantEnd{answer.ID, e}}) },
+		Stalled:          answer.Stalled,
+		ReportFirstToken: func() { c.queueUpdate(grantUpdate{address: address, end: grantEnd{ID: answer.ID}, firstToken: true}) },
+		End:              func(e owner.End) { c.queueUpdate(grantUpdate{address: address, end: grantEnd{answer.ID, e}}) },
 	}, nil
 }
 
--- a/internal/grant/client_test.go
+++ b/internal/grant/client_test.go
@@ -53,12 +53,12 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			address := startServer(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				var a grant.Ask
+				var a grant.Request
 				c.Check(json.NewDecoder(r.Body).Decode(&a), qt.IsNil)
 				c.Check(a.Engine, qt.Equals, "e-1")
 				tt.answer(w, r)
 			}))
-			g, err := newClient().Acquire(c.Context(), address, grant.Ask{Engine: "e-1"})
+			g, err := newClient().Acquire(c.Context(), address, grant.Request{Engine: "e-1"})
 			if tt.want == result.OK {
 				c.Assert(err, qt.IsNil)
 				c.Check(g.End, qt.IsNotNil)
@@ -97,7 +97,7 @@
 	var group errgroup.Group
 	group.Go(func() error { return client.Serve(ctx) })
 	for range 5 {
-		g, err := client.Acquire(ctx, address, grant.Ask{Engine: "e-1"})
+		g, err := client.Acquire(ctx, address, grant.Request{Engine: "e-1"})
 		c.Assert(err, qt.IsNil)
 		g.End(owner.EndBroken)
 	}
@@ -119,7 +119,7 @@
 	mux := http.NewServeMux()
 	grant.NewServer(grant.ServerConfig{Owners: owner.NewSet(owner.SetConfig{})}).Register(mux)
 	address := startServer(c, mux)
-	_, err := newClient().Acquire(c.Context(), address, grant.Ask{Engine: "e-1"})
+	_, err := newClient().Acquire(c.Context(), address, grant.Request{Engine: "e-1"})
 	c.Check(result.Is(err, result.NotOwner), qt.IsTrue, qt.Commentf("%v", err))
 	resp, err := http.Post("http://"+address.String()+"/peer/acquire", "application/json", strings.NewReader("{"))
 	c.Assert(err, qt.IsNil)
--- a/internal/grant/message.go
+++ b/internal/grant/message.go
@@ -17,20 +17,20 @@
 	pathEnd     = "/peer/end"
 )
 
-// Ask is the message by which a box requests a grant. It describes the request that is to run on the engine.
-type Ask struct {
+// Request is the message by which a box requests a grant. It describes the request that is to run on the engine.
+type Request struct {
 	Engine  string `json:"engine"`
 	Ref     string `json:"ref,omitempty"`
 	Weights string `json:"weights,omitempty"`
 	Urgency int    `json:"urgency"`
 	// StartIn is the time until the latest start at which the response is still useful.
 	StartIn time.Duration `json:"start_in"`
-	// Accept is the longest expected wait with which the owner may queue the request. Zero means no limit.
-	Accept time.Duration `json:"accept,omitempty"`
-	// Near is true if the owner may queue the request only if the adapter does not have to be fetched from the weight store.
-	Near bool `json:"near,omitempty"`
-	// Pressed is true if no engine that was tried before can start the request in time.
-	Pressed bool `json:"pressed,omitempty"`
+	// MaxWait is the longest expected wait with which the owner may queue the request. Zero means no limit.
+	MaxWait time.Duration `json:"accept,omitempty"`
+	// LocalOnly is true if the owner may queue the request only if the adapter does not have to be fetched from the weight store.
+	LocalOnly bool `json:"near,omitempty"`
+	// OthersTooSlow is true if no engine that was tried before can start the request in time.
+	OthersTooSlow bool `json:"pressed,omitempty"`
 	// Hold is the longest time that the grant is valid. The owner then treats the request as ended.
 	Hold time.Duration `json:"hold"`
 	// Last is true if no other engine will be tried after this one.
@@ -45,11 +45,11 @@
 	Rate *ratelimit.Word `json:"rate,omitempty"`
 }
 
-// Request converts the message to a request for the owner. It fails if Ref is invalid.
-func (a *Ask) Request(now time.Time) (owner.Request, *result.Error) {
+// OwnerRequest converts the message to a request for the owner. It fails if Ref is invalid.
+func (a *Request) OwnerRequest(now time.Time) (owner.Request, *result.Error) {
 	q := owner.Request{
 		Weights: a.Weights, Urgency: a.Urgency, StartBy: now.Add(a.StartIn), Last: a.Last,
-		Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, Accept: a.Accept, Near: a.Near, Pressed: a.Pressed,
+		Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, Accept: a.MaxWait, Near: a.LocalOnly, Pressed: a.OthersTooSlow,
 		Customer: a.Customer, Rate: a.Rate,
 	}
 	if a.Ref == "" {
@@ -98,8 +98,8 @@
 type Grant struct {
 	// Stalled is the time that the request waited for its adapter.
 	Stalled time.Duration
-	// Read reports to the owner that the first token of the response has arrived.
-	Read func()
+	// ReportFirstToken reports to the owner that the first token of the response has arrived.
+	ReportFirstToken func()
 	// End reports to the owner how the request ended.
 	End func(owner.End)
 }
--- a/internal/grant/server.go
+++ b/internal/grant/server.go
@@ -60,7 +60,7 @@
 }
 
 func (s *Server) handleAcquire(w http.ResponseWriter, r *http.Request) {
-	var ask Ask
+	var ask Request
 	if !result.ReadJSON(w, r, maxMessageBytes, &ask) {
 		return
 	}
@@ -69,13 +69,13 @@
 		result.New(result.NotOwner, "%s", ask.Engine).Write(w, "")
 		return
 	}
-	q, rerr := ask.Request(clock.Now())
+	q, rerr := ask.OwnerRequest(clock.Now())
 	if rerr != nil {
 		rerr.Write(w, "")
 		return
 	}
-	g, rerr := AcquireAlive(r.Context(), w, runner, q, keepaliveInterval)
-	TellRate(w.Header(), runner.Rate())
+	g, rerr := AcquireWithKeepalive(r.Context(), w, runner, q, keepaliveInterval)
+	SetRateHeader(w.Header(), runner.Rate())
 	if rerr != nil {
 		rerr.Write(w, "")
 		return
@@ -87,9 +87,9 @@
 	httpx.WriteJSON(w, http.StatusOK, acquireAnswer{ID: s.hold(g, ask.Hold), Stalled: g.Stalled})
 }
 
-// TellRate sets the response header that contains an engine's rate limit, unless w is nil. The requesting box uses the limit when
+// SetRateHeader sets the response header that contains an engine's rate limit, unless w is nil. The requesting box uses the limit when
 // it can no longer reach this box.
-func TellRate(h http.Header, w *ratelimit.Word) {
+func SetRateHeader(h http.Header, w *ratelimit.Word) {
 	if w == nil {
 		return
 	}
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -109,7 +109,7 @@
 		}
 	}
 	ask := r.newAsk(q, ref)
-	ask.Accept, ask.Near = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.On(policy.Copies)
+	ask.MaxWait, ask.LocalOnly = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.On(policy.Copies)
 	offers := r.newOffers(q)
 	lastErr := result.New(result.NoEngine, "%s of %s", q.head.Model, q.service)
 	asked := 0
@@ -119,7 +119,7 @@
 			break
 		}
 		c := &candidates[i]
-		ask.Pressed = offers.noneInTime() && i >= min(pressedAfter, len(candidates)-1)
+		ask.OthersTooSlow = offers.noneInTime() && i >= min(pressedAfter, len(candidates)-1)
 		engine, rerr := r.acquireGrant(ctx, q, c, ask)
 		if rerr == nil {
 			return engine, nil
@@ -131,7 +131,7 @@
 			// An engine that is skipped for its rate does not count towards maxCandidates.
 			c.rateExhausted, avoid[c.name] = true, true
 			q.addRateLimited(rerr)
-			if c.holdsVersion || ask.Pressed {
+			if c.holdsVersion || ask.OthersTooSlow {
 				// Otherwise the refusal may be due to an adapter that would have to be loaded, which does not affect other
 				// requests.
 				r.markRateExhausted(q, c.name)
@@ -170,13 +170,13 @@
 
 // acceptOffer waits for the grant of the engine with the best offer. It refuses the request at once if the engine is
 // not expected to start the request in its time.
-func (r *Relay) acceptOffer(ctx context.Context, q *request, best *offer, ask grant.Ask) (*chosenEngine, *result.Error) {
+func (r *Relay) acceptOffer(ctx context.Context, q *request, best *offer, ask grant.Request) (*chosenEngine, *result.Error) {
 	if ask.StartIn < best.wait && r.cfg.Policy.On(policy.Admission) {
 		unmet := result.New(result.DeadlineUnmet, "the earliest start is in %s", best.wait.Round(time.Millisecond))
 		unmet.RetryAfter = best.wait
 		return nil, unmet
 	}
-	ask.Accept, ask.Near, ask.Last, ask.Pressed = 0, false, true, false
+	ask.MaxWait, ask.LocalOnly, ask.Last, ask.OthersTooSlow = 0, false, true, false
 	return r.acquireGrant(ctx, q, best.candidate, ask)
 }
 
@@ -207,8 +207,8 @@
 }
 
 // newAsk returns what the owner of an engine needs to decide about a request.
-func (r *Relay) newAsk(q *request, ref resource.Ref) grant.Ask {
-	a := grant.Ask{
+func (r *Relay) newAsk(q *request, ref resource.Ref) grant.Request {
+	a := grant.Request{
 		Urgency: q.urgency(), Customer: q.customerName(), Hold: q.timeLeft() + grantSlack, Prompt: q.head.Prompt, Output: q.head.expectedOutput(), Parts: q.head.Parts,
 		StartIn: min(q.timeLeft(), time.Duration(maxStartObjectives*float64(q.route.Objective))-clock.Since(q.receivedAt)),
 	}
@@ -219,7 +219,7 @@
 }
 
 // acquireGrant asks the owner of a candidate for a grant and records the outcome.
-func (r *Relay) acquireGrant(ctx context.Context, q *request, c *candidate, a grant.Ask) (*chosenEngine, *result.Error) {
+func (r *Relay) acquireGrant(ctx context.Context, q *request, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
 	engine, rerr := r.askOwner(ctx, c, a)
 	switch {
 	case rerr == nil:
@@ -233,7 +233,7 @@
 }
 
 // askOwner asks the owner of a candidate, on this box or on another one, for a grant.
-func (r *Relay) askOwner(ctx context.Context, c *candidate, a grant.Ask) (*chosenEngine, *result.Error) {
+func (r *Relay) askOwner(ctx context.Context, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
 	a.Engine, a.Rate = c.name, r.cfg.Rates.Word(clock.Now(), c.name, c.started)
 	if runner, ok := r.cfg.Owners.Get(c.name); ok {
 		return r.acquireLocal(ctx, runner, c, a)
@@ -252,12 +252,12 @@
 		}
 		return nil, rerr
 	}
-	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.Read, release: g.End}, nil
+	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.ReportFirstToken, release: g.End}, nil
 }
 
 // acquireLocal asks for a grant for an engine that this box owns.
-func (r *Relay) acquireLocal(ctx context.Context, runner *owner.Runner, c *candidate, a grant.Ask) (*chosenEngine, *result.Error) {
-	ownerRequest, rerr := a.Request(clock.Now())
+func (r *Relay) acquireLocal(ctx context.Context, runner *owner.Runner, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
+	ownerRequest, rerr := a.OwnerRequest(clock.Now())
 	if rerr != nil {
 		return nil, rerr
 	}
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -70,7 +70,7 @@
 
 // startTwoEngines starts the engines, and their owner, which calls answer for each request for a grant and onEnd for
 // each report of ended grants.
-func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, ask *grant.Ask), onEnd func(body string)) *twoEngines {
+func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, ask *grant.Request), onEnd func(body string)) *twoEngines {
 	w := &twoEngines{c: c, catalog: catalog.New(), engines: map[string]*resource.Endpoint{}}
 	owners := coordinator.Map{Cell: "c", Generation: 1}
 	for i := range w.arrived {
@@ -91,7 +91,7 @@
 		rw.WriteHeader(http.StatusNoContent)
 	})
 	ownerPeer.HandleFunc("POST /peer/acquire", func(rw http.ResponseWriter, r *http.Request) {
-		var ask grant.Ask
+		var ask grant.Request
 		c.Check(json.NewDecoder(r.Body).Decode(&ask), qt.IsNil)
 		answer(w, rw, &ask)
 	})
@@ -155,7 +155,7 @@
 	c := qt.New(t)
 	var leavingEngine atomic.Int64
 	leavingEngine.Store(-1)
-	w := startTwoEngines(c, func(w *twoEngines, rw http.ResponseWriter, ask *grant.Ask) {
+	w := startTwoEngines(c, func(w *twoEngines, rw http.ResponseWriter, ask *grant.Request) {
 		if leavingEngine.CompareAndSwap(-1, int64(ask.Engine[1]-'0')) {
 			leaving := *w.engines[ask.Engine]
 			leaving.Leaving = true
@@ -174,9 +174,9 @@
 	c := qt.New(t)
 	var failedEngine atomic.Int64
 	failedEngine.Store(-1)
-	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, ask *grant.Ask) {
+	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, ask *grant.Request) {
 		switch {
-		case ask.Near:
+		case ask.LocalOnly:
 			offer := result.New(result.TryNext, "")
 			offer.RetryAfter = 300 * time.Millisecond
 			offer.Write(rw, "")
@@ -197,7 +197,7 @@
 func TestCrashedEngineDoesNotSpendRetryBudget(t *testing.T) {
 	c := qt.New(t)
 	endReports := make(chan string, 4)
-	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, _ *grant.Ask) {
+	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, _ *grant.Request) {
 		httpx.WriteJSON(rw, http.StatusOK, map[string]any{"id": 1})
 	}, func(body string) { endReports <- body })
 	closed := httptest.NewServer(nil)
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -33,7 +33,7 @@
 		return
 	}
 	if e, ok := r.cfg.Catalog.Topology().Engines[engine]; ok && e.Owner.Box != "" && e.Owner.Box != r.cfg.Box {
-		r.cfg.Grants.TellRate(e.Owner.Peer, engine, word)
+		r.cfg.Grants.QueueRate(e.Owner.Peer, engine, word)
 	}
 }
 
