--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -75,7 +75,7 @@
 	// say of how many requests a second they take.
 	keeper *places.Keeper
 	places *places.Client
-	rates  *ratelimit.Book
+	rates  *ratelimit.Registry
 	// notices is what else they have said of themselves, teller tells other boxes.
 	notices   *notice.Board
 	teller    *notice.Client
@@ -106,7 +106,7 @@
 		LostObjects: func(ctx context.Context) ([]objects.Object, error) { return b.lost(ctx, api, peers) },
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
-	b.rates = ratelimit.NewBook(ratelimit.BookConfig{Boxes: func() int { return len(b.catalog.Topology().Boxes) }, Scope: b.metrics.Scope})
+	b.rates = ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: func() int { return len(b.catalog.Topology().Boxes) }, Scope: b.metrics.Scope})
 	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, heard bool) {
 		if heard {
 			b.teller.Leaves(e)
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -87,7 +87,7 @@
 	keeper *places.Keeper
 	places *places.Client
 	// rates is what endpoints say of how many requests a second they take.
-	rates *ratelimit.Book
+	rates *ratelimit.Registry
 	// notices is what else they have said of themselves, teller tells other boxes.
 	notices *notice.Board
 	teller  *notice.Client
@@ -126,7 +126,7 @@
 	}}), newAccountable(accountableConfig{
 		Box: cfg.Settings.Box.Name, Beat: cfg.Settings.Timing.Beat, Catalog: b.catalog, Membership: func() member.Status { return b.node.Status() },
 	})
-	b.rates = ratelimit.NewBook(ratelimit.BookConfig{Boxes: b.boxes, Scope: b.metrics.Scope})
+	b.rates = ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: b.boxes, Scope: b.metrics.Scope})
 	b.buildNotices()
 	b.keeper = places.NewKeeper(mathrand.Uint64())
 	b.places = places.NewClient(places.ClientConfig{
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -60,7 +60,7 @@
 // addRateLimits adds the endpoints that report a rate limit. Each entry has the rate and how long the endpoint has reported one.
 func (s *summary) addRateLimits(limits []ratelimit.Limit) {
 	for _, l := range limits {
-		s.rateLimited = append(s.rateLimited, fmt.Sprintf("%s %.3g/s for %s", l.Endpoint, l.Rate, l.For.Round(time.Second)))
+		s.rateLimited = append(s.rateLimited, fmt.Sprintf("%s %.3g/s for %s", l.Endpoint, l.Rate, l.LimitedFor.Round(time.Second)))
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -111,7 +111,7 @@
 		g.cfg.Scope.Tagged(map[string]string{"reason": err.Code.String()}).Counter("retries").Inc(1)
 	}
 	if lastErr.Code == result.RateLimited {
-		lastErr.RetryAfter = g.cfg.Rates.ComeBack(clock.Now(), j.baseModel, func() []string { return rateLimited }, lastErr.RetryAfter)
+		lastErr.RetryAfter = g.cfg.Rates.RetryAfter(clock.Now(), j.baseModel, func() []string { return rateLimited }, lastErr.RetryAfter)
 	}
 	return nil, summary.finalError(lastErr)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,7 +55,7 @@
 	// Places limits the concurrent calls of all boxes to the addresses of services.
 	// Rates stores the maximum requests per second that engines and services report.
 	Places *places.Client
-	Rates  *ratelimit.Book
+	Rates  *ratelimit.Registry
 	// Notices stores which engines and services have announced that they are leaving or asked for a rest.
 	Notices *notice.Board
 	// Record stores how recent requests were handled, for operators.
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -53,8 +53,8 @@
 	// Suspect identifies repeated attempts of the same request for the quarantine.
 	Suspect quarantine.Suspect `json:"suspect"`
 	// Cooperative is the customer that owns the adapter, Rate the rate limit of the engine as last reported to the sender.
-	Cooperative string          `json:"cooperative,omitempty"`
-	Rate        *ratelimit.Word `json:"rate,omitempty"`
+	Cooperative string            `json:"cooperative,omitempty"`
+	Rate        *ratelimit.Report `json:"rate,omitempty"`
 }
 
 // trackedBody is a request body that records whether any of it was read.
@@ -77,7 +77,7 @@
 	head, err := json.Marshal(hopHead{
 		Engine: e.Name, Ref: j.ref.String(), Weights: j.weights, RunID: j.runID, RequestID: j.requestID,
 		Path: j.path, Urgency: j.urgency, StartIn: clock.Until(j.startBy), LastEngine: j.isLastEngine, Suspect: j.suspect,
-		Cooperative: j.cooperative, Rate: g.cfg.Rates.Word(clock.Now(), e.Name, e.Spec.Started),
+		Cooperative: j.cooperative, Rate: g.cfg.Rates.LatestReport(clock.Now(), e.Name, e.Spec.Started),
 	})
 	if err != nil {
 		return nil, result.New(result.BadRequest, "%v", err)
@@ -134,7 +134,7 @@
 		return nil, result.New(result.BackendUnreachable, "box %s: %v", e.Owner.Box, err)
 	}
 	if w := grant.RateFromHeader(resp.Header); w != nil {
-		g.cfg.Rates.Heard(clock.Now(), e.Name, *w)
+		g.cfg.Rates.Record(clock.Now(), e.Name, *w)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -40,7 +40,7 @@
 	// cooperative is the customer that owns the adapter.
 	cooperative string
 	// reportedRate is the rate limit of the engine as last reported to the box that forwarded the request.
-	reportedRate *ratelimit.Word
+	reportedRate *ratelimit.Report
 	urgency      int
 	startBy      time.Time
 	repeatable   bool
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -24,11 +24,11 @@
 func (g *Gateway) recordEngineNotice(grant *owner.Grant, w notice.Word) {
 	now := clock.Now()
 	if w.RateErr != nil {
-		g.cfg.Rates.Ignored(now, grant.Name, w.RateErr)
+		g.cfg.Rates.RecordInvalid(now, grant.Name, w.RateErr)
 	} else {
 		rate := w.Rate
 		rate.Started = grant.Engine.Started
-		if g.cfg.Rates.Heard(now, grant.Name, rate) {
+		if g.cfg.Rates.Record(now, grant.Name, rate) {
 			grant.HearRate(rate)
 		}
 	}
@@ -47,9 +47,9 @@
 func (g *Gateway) recordServiceNotice(a netip.AddrPort, resp *http.Response) {
 	now, w := clock.Now(), engine.Headers.Read(resp.StatusCode, resp.Header)
 	if w.RateErr != nil {
-		g.cfg.Rates.Ignored(now, a.String(), w.RateErr)
+		g.cfg.Rates.RecordInvalid(now, a.String(), w.RateErr)
 	} else {
-		g.cfg.Rates.Heard(now, a.String(), w.Rate)
+		g.cfg.Rates.Record(now, a.String(), w.Rate)
 	}
 	g.cfg.Notices.Heard(now, notice.Endpoint{Name: a.String(), Reused: true}, w)
 }
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -177,7 +177,7 @@
 	}
 	if tries == 0 && shortestWait < math.MaxInt64 {
 		lastErr = result.New(result.RateLimited, "%s", c.service)
-		lastErr.RetryAfter = g.cfg.Rates.ComeBack(clock.Now(), c.service, func() []string { return addresses }, shortestWait)
+		lastErr.RetryAfter = g.cfg.Rates.RetryAfter(clock.Now(), c.service, func() []string { return addresses }, shortestWait)
 	}
 	if tries == 0 {
 		lastErr = summary.finalError(lastErr)
--- a/internal/grant/client.go
+++ b/internal/grant/client.go
@@ -42,7 +42,7 @@
 type ClientConfig struct {
 	HTTP *http.Client
 	// Rates holds the rate limits of engines that are known to this box.
-	Rates *ratelimit.Book
+	Rates *ratelimit.Registry
 	Scope tally.Scope
 }
 
@@ -107,18 +107,18 @@
 	}
 	defer httpx.Drain(resp.Body)
 	if w := RateFromHeader(resp.Header); w != nil {
-		c.cfg.Rates.Heard(clock.Now(), a.Engine, *w)
+		c.cfg.Rates.Record(clock.Now(), a.Engine, *w)
 	}
 	return c.readAnswer(resp, address)
 }
 
 // RateFromHeader returns the engine's rate limit from the response header of its owner, or nil if the header is missing or invalid.
-func RateFromHeader(h http.Header) *ratelimit.Word {
+func RateFromHeader(h http.Header) *ratelimit.Report {
 	encoded := h.Get(headerRate)
 	if encoded == "" {
 		return nil
 	}
-	w := &ratelimit.Word{}
+	w := &ratelimit.Report{}
 	if err := json.Unmarshal([]byte(encoded), w); err != nil {
 		klog.ErrorS(err, "invalid rate limit in the response of an engine owner; ignored")
 		return nil
@@ -127,7 +127,7 @@
 }
 
 // QueueRate queues the rate limit that an engine reported, to be sent to its owner at address.
-func (c *Client) QueueRate(address netip.AddrPort, engine string, w ratelimit.Word) {
+func (c *Client) QueueRate(address netip.AddrPort, engine string, w ratelimit.Report) {
 	c.queueUpdate(grantUpdate{address: address, rate: &engineRate{engine, w}})
 }
 
--- a/internal/grant/message.go
+++ b/internal/grant/message.go
@@ -42,7 +42,7 @@
 	// Customer owns the request.
 	Customer string `json:"customer,omitempty"`
 	// Rate is the engine's limit of requests per second that the requesting box knows.
-	Rate *ratelimit.Word `json:"rate,omitempty"`
+	Rate *ratelimit.Report `json:"rate,omitempty"`
 }
 
 // OwnerRequest converts the message to a request for the owner. It fails if Ref is invalid.
@@ -80,8 +80,8 @@
 
 // engineRate is the rate limit of one engine.
 type engineRate struct {
-	Engine string         `json:"engine"`
-	Rate   ratelimit.Word `json:"rate"`
+	Engine string           `json:"engine"`
+	Rate   ratelimit.Report `json:"rate"`
 }
 
 // headerRate is the response header that contains the latest known rate limit of the owner's engine as JSON. It is set on grants
--- a/internal/grant/server.go
+++ b/internal/grant/server.go
@@ -30,7 +30,7 @@
 type ServerConfig struct {
 	Owners *owner.Set
 	// Rates holds the rate limits of engines that are known to this box.
-	Rates *ratelimit.Book
+	Rates *ratelimit.Registry
 }
 
 // Server handles the requests of other boxes for grants on the engines that this box owns.
@@ -89,7 +89,7 @@
 
 // SetRateHeader sets the response header that contains an engine's rate limit, unless w is nil. The requesting box uses the limit when
 // it can no longer reach this box.
-func SetRateHeader(h http.Header, w *ratelimit.Word) {
+func SetRateHeader(h http.Header, w *ratelimit.Report) {
 	if w == nil {
 		return
 	}
@@ -144,7 +144,7 @@
 		s.reportFirstToken(id)
 	}
 	for _, e := range msg.Rates {
-		s.cfg.Rates.Heard(clock.Now(), e.Engine, e.Rate)
+		s.cfg.Rates.Record(clock.Now(), e.Engine, e.Rate)
 		if runner, ok := s.cfg.Owners.Get(e.Engine); ok {
 			runner.HearRate(e.Rate)
 		}
--- a/internal/notice/headers.go
+++ b/internal/notice/headers.go
@@ -35,7 +35,7 @@
 // Word holds the notices that an endpoint sent about itself in the headers of one answer.
 type Word struct {
 	// Rate is the requests per second that the endpoint accepts from all boxes together.
-	Rate ratelimit.Word
+	Rate ratelimit.Report
 	// Leaving is true if the endpoint ends soon and must get no new requests. False carries no information.
 	Leaving bool
 	// Rest is how long the endpoint requests that this box sends it no requests, or zero if the answer gives no time.
@@ -49,7 +49,7 @@
 // Read parses the status and the headers of an answer.
 func (n Headers) Read(status int, h http.Header) Word {
 	var w Word
-	w.Rate, w.RateErr = ratelimit.Named(h.Values(n.Rate))
+	w.Rate, w.RateErr = ratelimit.ParseHeader(h.Values(n.Rate))
 	w.Leaving, w.LeavingErr = parseLeaving(h.Values(n.Leaving))
 	w.ClosesConnection = strings.EqualFold(h.Get("Connection"), "close")
 	// With other statuses Retry-After has another meaning, for example when to fetch the result.
--- a/internal/owner/action.go
+++ b/internal/owner/action.go
@@ -35,7 +35,7 @@
 	// Customer sent the request.
 	Customer string
 	// Rate is the engine's rate limit as the submitting box knows it.
-	Rate *ratelimit.Word
+	Rate *ratelimit.Report
 	// SharedRate is true if this box has no authority over the engine now, so that another box may also count requests against the
 	// engine's rate limit.
 	SharedRate bool
--- a/internal/owner/event.go
+++ b/internal/owner/event.go
@@ -33,7 +33,7 @@
 
 type firstTokenReceived struct{ id uint64 }
 
-type rateReceived struct{ rate ratelimit.Word }
+type rateReceived struct{ rate ratelimit.Report }
 
 type permitGranted struct {
 	ref    resource.Ref
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -10,7 +10,7 @@
 
 // Submit starts, queues or refuses a ticket.
 func (s *State) Submit(now time.Time, t Ticket) []Action {
-	s.rateLimiter.Hear(now, t.Rate)
+	s.rateLimiter.ApplyReport(now, t.Rate)
 	if s.stopped || s.closed {
 		s.recordUse(now, t.Ref)
 		s.refuseClosed(t)
@@ -95,7 +95,7 @@
 
 // enqueue adds t to the waiting tickets, which are ordered by urgency, then by latest useful start, then by arrival.
 func (s *State) enqueue(now time.Time, t Ticket) {
-	t.countedInRate = s.rateLimiter.Limited()
+	t.countedInRate = s.rateLimiter.IsLimited()
 	s.rateLimiter.Use(now, t.Customer)
 	index, _ := slices.BinarySearchFunc(s.waiting, t, compareTickets)
 	s.waiting = slices.Insert(s.waiting, index, t)
--- a/internal/owner/rate.go
+++ b/internal/owner/rate.go
@@ -13,24 +13,24 @@
 const unauthorizedRateShare = 0.4
 
 // UpdateRate updates the engine's rate limit in requests per second.
-func (s *State) UpdateRate(now time.Time, w *ratelimit.Word) { s.rateLimiter.Hear(now, w) }
+func (s *State) UpdateRate(now time.Time, w *ratelimit.Report) { s.rateLimiter.ApplyReport(now, w) }
 
 // Rate returns the engine's rate limit, or nil if it has none.
-func (s *State) Rate(now time.Time) *ratelimit.Word { return s.rateLimiter.Word(now) }
+func (s *State) Rate(now time.Time) *ratelimit.Report { return s.rateLimiter.CurrentReport(now) }
 
 // checkRate returns an error if the engine's rate limit does not admit the ticket. On an engine with a rate limit, a ticket that
 // needs a load from the weight store is admitted only if the limit would otherwise stay unused or if no other engine can start
 // the request.
 func (s *State) checkRate(now time.Time, t Ticket) *result.Error {
-	ask := ratelimit.Ask{Urgency: t.Urgency, Customer: t.Customer, Dear: !t.Last && !t.OthersTooSlow && !s.isLocal(t.Ref)}
+	ask := ratelimit.Request{Urgency: t.Urgency, Customer: t.Customer, Costly: !t.Last && !t.OthersTooSlow && !s.isLocal(t.Ref)}
 	if t.SharedRate {
-		ask.Lone = unauthorizedRateShare
+		ask.OwnShare = unauthorizedRateShare
 	}
 	wait, ok := s.rateLimiter.Check(now, ask)
 	if ok {
 		return nil
 	}
-	err := result.New(result.RateLimited, "the engine accepts %.3g requests per second", s.rateLimiter.Word(now).Rate)
+	err := result.New(result.RateLimited, "the engine accepts %.3g requests per second", s.rateLimiter.CurrentReport(now).Rate)
 	err.RetryAfter = wait
 	return err
 }
--- a/internal/owner/rate_test.go
+++ b/internal/owner/rate_test.go
@@ -18,7 +18,7 @@
 func stateWithRate(rate float64) *State {
 	s := New(Config{Slots: 4, Batch: 8, MaxQueue: 16, FinishesFirst: true})
 	s.Adopt([]resource.Ref{{Adapter: "held", Version: "1"}}, false)
-	s.UpdateRate(testStart, &ratelimit.Word{Limited: true, Rate: rate})
+	s.UpdateRate(testStart, &ratelimit.Report{Limited: true, Rate: rate})
 	return s
 }
 
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -66,7 +66,7 @@
 	// Authority is called right before each order.
 	Authority Authority
 	// Rate is the engine's last known rate limit, or nil if none is known.
-	Rate *ratelimit.Word
+	Rate *ratelimit.Report
 	// EngineLeaving is true if the engine has announced that it is leaving.
 	EngineLeaving bool
 	// Notices receives the notices in the engine's reports. It is nil if only the owner needs them.
@@ -88,7 +88,7 @@
 	// ordersInFlight is the number of orders in flight.
 	ordersInFlight atomic.Int64
 	// rate is the engine's rate limit after the last event.
-	rate atomic.Pointer[ratelimit.Word]
+	rate atomic.Pointer[ratelimit.Report]
 	// publishedLeaving is the value of engineLeaving after the last event.
 	publishedLeaving atomic.Bool
 
@@ -155,7 +155,7 @@
 		// No tickets wait yet, so there are no actions to carry out.
 		_ = r.updateClosed(clock.Now())
 	}
-	r.state.rateLimiter.Born(cfg.Engine.Started)
+	r.state.rateLimiter.SetStart(cfg.Engine.Started)
 	r.state.UpdateRate(clock.Now(), cfg.Rate)
 	return r
 }
@@ -195,10 +195,10 @@
 }
 
 // HearRate updates the engine's rate limit, as received from the engine or from another box.
-func (r *Runner) HearRate(w ratelimit.Word) { r.post(rateReceived{w}) }
+func (r *Runner) HearRate(w ratelimit.Report) { r.post(rateReceived{w}) }
 
 // Rate returns the engine's rate limit, or nil if it has none.
-func (r *Runner) Rate() *ratelimit.Word { return r.rate.Load() }
+func (r *Runner) Rate() *ratelimit.Report { return r.rate.Load() }
 
 // HearLeft records that the engine has announced that it is leaving. It gets no new requests or orders until it
 // restarts.
@@ -234,7 +234,7 @@
 	// Customer sent the request.
 	Customer string
 	// Rate is the engine's rate limit as the requesting box knows it.
-	Rate *ratelimit.Word
+	Rate *ratelimit.Report
 }
 
 // Grant lets one request run on the engine until it is released.
@@ -252,7 +252,7 @@
 func (g *Grant) Read() { g.runner.post(firstTokenReceived{g.id}) }
 
 // HearRate updates the engine's rate limit, as received in the engine's answer.
-func (g *Grant) HearRate(w ratelimit.Word) { g.runner.HearRate(w) }
+func (g *Grant) HearRate(w ratelimit.Report) { g.runner.HearRate(w) }
 
 // HearLeft records that the engine has announced in its answer that it is leaving.
 func (g *Grant) HearLeft() { g.runner.HearLeft() }
@@ -431,7 +431,7 @@
 // mayShareRate reports whether another box may also count requests against the engine's rate limit, because this box has no
 // authority now.
 func (r *Runner) mayShareRate(now time.Time) bool {
-	if !r.state.rateLimiter.Limited() {
+	if !r.state.rateLimiter.IsLimited() {
 		return false
 	}
 	_, authorized := r.cfg.Authority(now)
--- a/internal/owner/set.go
+++ b/internal/owner/set.go
@@ -45,7 +45,7 @@
 	// Authority reports whether this box may send orders to an engine now, and under which epoch.
 	Authority func(engine string, now time.Time) (epoch uint64, ok bool)
 	// Rates holds the known rate limits of engines.
-	Rates *ratelimit.Book
+	Rates *ratelimit.Registry
 	// Notices holds other notices received from engines.
 	Notices *notice.Board
 	Scope   tally.Scope
@@ -189,7 +189,7 @@
 		Client: s.cfg.Client, Loads: s.cfg.Loads, BaseLoads: s.cfg.BaseLoads, Scope: s.cfg.Scope,
 		PrefillRate: s.cfg.PrefillRate, Policy: s.cfg.Policy,
 		Authority:     func(now time.Time) (uint64, bool) { return s.cfg.Authority(name, now) },
-		Rate:          s.cfg.Rates.Word(clock.Now(), name, settings.engine.Started),
+		Rate:          s.cfg.Rates.LatestReport(clock.Now(), name, settings.engine.Started),
 		EngineLeaving: s.cfg.Notices.Leaves(clock.Now(), notice.Endpoint{Name: name, Started: settings.engine.Started}),
 		Notices:       s.cfg.Notices,
 	}
--- a/internal/owner/state.go
+++ b/internal/owner/state.go
@@ -203,7 +203,7 @@
 		}
 	}
 	s.prefill.clearCache()
-	s.rateLimiter.Forget()
+	s.rateLimiter.Reset()
 	return s.schedule(now)
 }
 
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -46,7 +46,7 @@
 	// Keeper counts the requests at the endpoints that this box is responsible for.
 	Keeper *Keeper
 	// Rates holds the rate limits of endpoints that are known to this box.
-	Rates *ratelimit.Book
+	Rates *ratelimit.Registry
 	Scope tally.Scope
 }
 
@@ -109,22 +109,22 @@
 		return c.acquireUncounted(a)
 	}
 	if answer.Rate != nil {
-		c.cfg.Rates.Heard(clock.Now(), a.Endpoint, *answer.Rate)
+		c.cfg.Rates.Record(clock.Now(), a.Endpoint, *answer.Rate)
 	}
 	return c.placeOrRefusal(a, answer, func(e EndReport) { c.ends.Add(address, e) })
 }
 
 // knownRate returns the latest known rate limit of the endpoint, or nil if none is known.
-func (c *Client) knownRate(a Request) *ratelimit.Word {
-	if !c.cfg.Rates.Any() {
+func (c *Client) knownRate(a Request) *ratelimit.Report {
+	if !c.cfg.Rates.HasReports() {
 		return nil
 	}
-	return c.cfg.Rates.Word(clock.Now(), a.Endpoint, a.Started)
+	return c.cfg.Rates.LatestReport(clock.Now(), a.Endpoint, a.Started)
 }
 
 // acquireUncounted acquires a place without a keeper, limited only by this box's own share of the endpoint's rate.
 func (c *Client) acquireUncounted(a Request) (*Place, Refusal) {
-	if wait, ok := c.cfg.Rates.TakeLone(clock.Now(), a.Endpoint, a.Started); !ok {
+	if wait, ok := c.cfg.Rates.TakeOwnShare(clock.Now(), a.Endpoint, a.Started); !ok {
 		return nil, Refusal{Wait: wait, RateLimited: true}
 	}
 	return &Place{End: func(time.Duration) {}}, Refusal{}
--- a/internal/places/keeper.go
+++ b/internal/places/keeper.go
@@ -41,8 +41,8 @@
 	Customer string `json:"customer,omitempty"`
 	// Started is the start time of the endpoint that the requesting box knows, in Unix milliseconds. Rate is the endpoint's rate
 	// limit that the requesting box knows.
-	Started int64           `json:"started,omitempty"`
-	Rate    *ratelimit.Word `json:"rate,omitempty"`
+	Started int64             `json:"started,omitempty"`
+	Rate    *ratelimit.Report `json:"rate,omitempty"`
 }
 
 // UnlimitedSlots is the value of Ask.Slots for endpoints that do not declare how many requests they run at the same time.
@@ -56,8 +56,8 @@
 	Wait time.Duration `json:"wait,omitempty"`
 	// RateLimited is true if the endpoint's rate limit was the reason for the refusal. Rate is that limit, nil if the endpoint
 	// has none.
-	RateLimited bool            `json:"limited,omitempty"`
-	Rate        *ratelimit.Word `json:"rate,omitempty"`
+	RateLimited bool              `json:"limited,omitempty"`
+	Rate        *ratelimit.Report `json:"rate,omitempty"`
 }
 
 // EndReport is the message by which a box reports that a request with a place has ended.
@@ -67,7 +67,7 @@
 	// Latency is the time until the response arrived. It is zero if no response arrived that shows the speed of the endpoint.
 	Latency time.Duration `json:"took,omitempty"`
 	// Rate is the endpoint's rate limit that the reporting box knows at the end of the request.
-	Rate *ratelimit.Word `json:"rate,omitempty"`
+	Rate *ratelimit.Report `json:"rate,omitempty"`
 }
 
 // Keeper counts the requests at the endpoints that this box is responsible for.
@@ -110,32 +110,32 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.getOrCreate(now, a.Endpoint)
-	c.limiter.Born(a.Started)
-	c.limiter.Hear(now, a.Rate)
+	c.limiter.SetStart(a.Started)
+	c.limiter.ApplyReport(now, a.Rate)
 	c.slots = max(1, a.Slots)
 	c.expirePlaces(now)
 	concurrency := len(c.held) + 1
 	if concurrency > c.slots && !c.isInTime(concurrency, a.MaxLatency) {
 		interval := c.serviceTime / time.Duration(c.slots)
-		return Answer{Wait: max(c.serviceTime, c.retryTurns.NextDelay(now, interval, maxWait)), Rate: c.limiter.Word(now)}
+		return Answer{Wait: max(c.serviceTime, c.retryTurns.NextDelay(now, interval, maxWait)), Rate: c.limiter.CurrentReport(now)}
 	}
-	if wait, ok := c.limiter.Check(now, ratelimit.Ask{Urgency: a.Urgency, Customer: a.Customer}); !ok {
-		return Answer{Wait: wait, RateLimited: true, Rate: c.limiter.Word(now)}
+	if wait, ok := c.limiter.Check(now, ratelimit.Request{Urgency: a.Urgency, Customer: a.Customer}); !ok {
+		return Answer{Wait: wait, RateLimited: true, Rate: c.limiter.CurrentReport(now)}
 	}
 	c.limiter.Use(now, a.Customer)
 	k.nextID++
 	c.held[k.nextID] = place{expiresAt: now.Add(min(max(a.Hold, 0), maxHold)), concurrency: concurrency}
-	return Answer{Granted: true, ID: k.nextID, Rate: c.limiter.Word(now)}
+	return Answer{Granted: true, ID: k.nextID, Rate: c.limiter.CurrentReport(now)}
 }
 
 // UpdateRate records the rate limit that an endpoint reported. A nil limit is ignored.
-func (k *Keeper) UpdateRate(now time.Time, endpoint string, w *ratelimit.Word) {
+func (k *Keeper) UpdateRate(now time.Time, endpoint string, w *ratelimit.Report) {
 	if w == nil {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.getOrCreate(now, endpoint).limiter.Hear(now, w)
+	k.getOrCreate(now, endpoint).limiter.ApplyReport(now, w)
 }
 
 // isInTime reports whether the response is expected within maxLatency if concurrency requests are at the endpoint.
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -16,7 +16,7 @@
 type ServerConfig struct {
 	Keeper *Keeper
 	// Rates holds the rate limits of endpoints that are known to this box.
-	Rates *ratelimit.Book
+	Rates *ratelimit.Registry
 }
 
 // Server handles the place requests of other boxes.
@@ -46,7 +46,7 @@
 	}
 	for _, e := range ends {
 		if e.Rate != nil {
-			s.cfg.Rates.Heard(clock.Now(), e.Endpoint, *e.Rate)
+			s.cfg.Rates.Record(clock.Now(), e.Endpoint, *e.Rate)
 		}
 		s.cfg.Keeper.UpdateRate(clock.Now(), e.Endpoint, e.Rate)
 		s.cfg.Keeper.End(e)
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -42,7 +42,7 @@
 
 // observation is a report of an endpoint with the time at which it was sent, by this box's clock.
 type observation struct {
-	Word
+	Report
 	at time.Time
 }
 
@@ -56,23 +56,23 @@
 }
 
 // withAge returns the report with its age, for a message to another box.
-func (o observation) withAge(now time.Time) Word {
-	w := o.Word
+func (o observation) withAge(now time.Time) Report {
+	w := o.Report
 	w.Age = max(0, now.Sub(o.at))
 	return w
 }
 
-// BookConfig configures a Book.
-type BookConfig struct {
+// RegistryConfig configures a Book.
+type RegistryConfig struct {
 	// Boxes returns the number of boxes in the system.
 	Boxes func() int
 	Scope tally.Scope
 }
 
-// Book stores the latest rate reports of endpoints that one box has received.
+// Registry stores the latest rate reports of endpoints that one box has received.
 // A nil Book acts as an empty one in all methods, except those that schedule retries and list limits.
-type Book struct {
-	cfg BookConfig
+type Registry struct {
+	cfg RegistryConfig
 	// recentlyIgnored contains the endpoints whose invalid rates were logged within ignoredLogInterval.
 	recentlyIgnored *recent.Set[string]
 	// size is the number of entries. While it is zero, which is the usual case, lookups need no lock.
@@ -106,19 +106,19 @@
 	ownLimiter Limiter
 }
 
-// NewBook returns a Book without any reports.
-func NewBook(cfg BookConfig) *Book {
-	return &Book{cfg: cfg, recentlyIgnored: recent.New[string](ignoredLogInterval), entries: map[string]*entry{}, retrySchedules: map[string]*retrySchedule{}, logLimit: logline.Limit{Most: maxLinesPerSecond}}
+// NewRegistry returns a Book without any reports.
+func NewRegistry(cfg RegistryConfig) *Registry {
+	return &Registry{cfg: cfg, recentlyIgnored: recent.New[string](ignoredLogInterval), entries: map[string]*entry{}, retrySchedules: map[string]*retrySchedule{}, logLimit: logline.Limit{Most: maxLinesPerSecond}}
 }
 
-// Any reports whether the Book contains at least one endpoint.
-func (b *Book) Any() bool { return b != nil && b.size.Load() > 0 }
+// HasReports reports whether the Book contains at least one endpoint.
+func (b *Registry) HasReports() bool { return b != nil && b.size.Load() > 0 }
 
-// Heard stores a rate report that came from the endpoint or from another box. It returns whether the keeper of the endpoint must
+// Record stores a rate report that came from the endpoint or from another box. It returns whether the keeper of the endpoint must
 // be informed. This is the case if the report contains a limit, or if another box may still apply a limit that is no longer in
 // force.
-func (b *Book) Heard(now time.Time, endpoint string, w Word) bool {
-	if b == nil || (!w.Limited && !b.Any()) {
+func (b *Registry) Record(now time.Time, endpoint string, w Report) bool {
+	if b == nil || (!w.Limited && !b.HasReports()) {
 		return false
 	}
 	b.mu.Lock()
@@ -141,8 +141,8 @@
 	return true
 }
 
-// Ignored counts and logs that an endpoint reported an invalid rate. The previous report of the endpoint stays in force.
-func (b *Book) Ignored(now time.Time, endpoint string, err error) {
+// RecordInvalid counts and logs that an endpoint reported an invalid rate. The previous report of the endpoint stays in force.
+func (b *Registry) RecordInvalid(now time.Time, endpoint string, err error) {
 	if b == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 }
 
 // logChange logs the difference between the stored report and the next one.
-func (b *Book) logChange(now time.Time, endpoint string, e *entry, next observation) {
+func (b *Registry) logChange(now time.Time, endpoint string, e *entry, next observation) {
 	switch {
 	case next.Limited && (!e.Limited || next.Started > e.Started):
 		e.limitedSince, e.lastLogged = next.at, now
@@ -171,7 +171,7 @@
 }
 
 // addEntry adds an empty entry. If the Book is full, it first removes the entry with the oldest report.
-func (b *Book) addEntry(endpoint string) *entry {
+func (b *Registry) addEntry(endpoint string) *entry {
 	if len(b.entries) >= maxEntries {
 		oldest := ""
 		for name, e := range b.entries {
@@ -188,7 +188,7 @@
 }
 
 // prune removes the endpoints that have had no rate limit for liftedRetention.
-func (b *Book) prune(now time.Time) {
+func (b *Registry) prune(now time.Time) {
 	b.lastPruned = now
 	for name, e := range b.entries {
 		if !e.Limited && now.Sub(e.at) >= liftedRetention {
@@ -198,9 +198,9 @@
 	b.size.Store(int64(len(b.entries)))
 }
 
-// Word returns the latest report of an endpoint since its start, or nil if there is none. A report from before started is void.
-func (b *Book) Word(now time.Time, endpoint string, started int64) *Word {
-	if !b.Any() {
+// LatestReport returns the latest report of an endpoint since its start, or nil if there is none. A report from before started is void.
+func (b *Registry) LatestReport(now time.Time, endpoint string, started int64) *Report {
+	if !b.HasReports() {
 		return nil
 	}
 	b.mu.Lock()
@@ -213,11 +213,11 @@
 	return &w
 }
 
-// TakeLone reports whether a request fits in this box's own share of an endpoint's rate, and consumes a part of the share if it
+// TakeOwnShare reports whether a request fits in this box's own share of an endpoint's rate, and consumes a part of the share if it
 // does. It is used while the keeper of the endpoint cannot be reached. Without a rate limit all requests are allowed. If the
 // share is used up, wait is the time after which the request may be retried.
-func (b *Book) TakeLone(now time.Time, endpoint string, started int64) (wait time.Duration, ok bool) {
-	word := b.Word(now, endpoint, started)
+func (b *Registry) TakeOwnShare(now time.Time, endpoint string, started int64) (wait time.Duration, ok bool) {
+	word := b.LatestReport(now, endpoint, started)
 	if word == nil || !word.Limited {
 		return 0, true
 	}
@@ -227,18 +227,18 @@
 	if e == nil {
 		return 0, true
 	}
-	e.ownLimiter.Hear(now, word)
-	if wait, ok = e.ownLimiter.Check(now, Ask{Lone: ownShareTotal / float64(max(1, b.cfg.Boxes()))}); ok {
+	e.ownLimiter.ApplyReport(now, word)
+	if wait, ok = e.ownLimiter.Check(now, Request{OwnShare: ownShareTotal / float64(max(1, b.cfg.Boxes()))}); ok {
 		e.ownLimiter.Use(now, "")
 	}
 	b.cfg.Scope.Tagged(map[string]string{"sent": strconv.FormatBool(ok)}).Counter("rate_own_share").Inc(1)
 	return wait, ok
 }
 
-// ComeBack returns the time after which a request may be retried that was refused because of the rate limits of all endpoints of
+// RetryAfter returns the time after which a request may be retried that was refused because of the rate limits of all endpoints of
 // a service. The wait is at least earliest, up to maxWait. Each box spreads its own retries over an equal part of the endpoints'
 // total rate. All boxes together thus receive as many retries as the endpoints accept, without messages between the boxes.
-func (b *Book) ComeBack(now time.Time, service string, endpoints func() []string, earliest time.Duration) time.Duration {
+func (b *Registry) RetryAfter(now time.Time, service string, endpoints func() []string, earliest time.Duration) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	schedule := b.retrySchedules[service]
@@ -265,7 +265,7 @@
 }
 
 // sumRates returns the number of requests per second that all the endpoints together accept.
-func (b *Book) sumRates(endpoints []string) float64 {
+func (b *Registry) sumRates(endpoints []string) float64 {
 	total := 0.0
 	for _, name := range endpoints {
 		if e := b.entries[name]; e != nil && e.Limited {
@@ -280,19 +280,19 @@
 	Endpoint string `json:"endpoint"`
 	// Rate is the limit in requests per second for all boxes together.
 	Rate float64 `json:"rate"`
-	// For is the time since the endpoint began to report a limit. Age is the time since its latest report.
-	For time.Duration `json:"for"`
-	Age time.Duration `json:"age"`
+	// LimitedFor is the time since the endpoint began to report a limit. Age is the time since its latest report.
+	LimitedFor time.Duration `json:"for"`
+	Age        time.Duration `json:"age"`
 }
 
 // Limits returns the current rate limits, sorted by endpoint.
-func (b *Book) Limits(now time.Time) []Limit {
+func (b *Registry) Limits(now time.Time) []Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var all []Limit
 	for name, e := range b.entries {
 		if e.Limited {
-			all = append(all, Limit{Endpoint: name, Rate: e.Rate, For: now.Sub(e.limitedSince), Age: now.Sub(e.at)})
+			all = append(all, Limit{Endpoint: name, Rate: e.Rate, LimitedFor: now.Sub(e.limitedSince), Age: now.Sub(e.at)})
 		}
 	}
 	slices.SortFunc(all, func(a, b Limit) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -9,37 +9,37 @@
 	"github.com/uber-go/tally/v4"
 )
 
-func newBook(boxes int) *Book {
-	return NewBook(BookConfig{Boxes: func() int { return boxes }, Scope: tally.NoopScope})
+func newBook(boxes int) *Registry {
+	return NewRegistry(RegistryConfig{Boxes: func() int { return boxes }, Scope: tally.NoopScope})
 }
 
 func TestBookKeepsLatestWord(t *testing.T) {
 	c := qt.New(t)
 	b := newBook(3)
-	c.Check(b.Heard(base, "e", Word{}), qt.IsFalse, qt.Commentf("neither this report nor an earlier one has a limit"))
-	c.Check(b.Word(base, "e", 0), qt.IsNil)
-	c.Check(b.Heard(base, "e", *limitedWord(1.9, 5)), qt.IsTrue)
+	c.Check(b.Record(base, "e", Report{}), qt.IsFalse, qt.Commentf("neither this report nor an earlier one has a limit"))
+	c.Check(b.LatestReport(base, "e", 0), qt.IsNil)
+	c.Check(b.Record(base, "e", *limitedWord(1.9, 5)), qt.IsTrue)
 	later := base.Add(time.Second)
-	c.Check(b.Word(later, "e", 5), qt.DeepEquals, &Word{Limited: true, Rate: 1.9, Started: 5, Age: time.Second})
-	c.Check(b.Word(later, "e", 6), qt.IsNil, qt.Commentf("the endpoint has restarted since the report"))
-	c.Check(b.Limits(later), qt.DeepEquals, []Limit{{Endpoint: "e", Rate: 1.9, For: time.Second, Age: time.Second}})
-	c.Check(b.Heard(later, "e", Word{Started: 5}), qt.IsTrue, qt.Commentf("other boxes may still apply the limit"))
+	c.Check(b.LatestReport(later, "e", 5), qt.DeepEquals, &Report{Limited: true, Rate: 1.9, Started: 5, Age: time.Second})
+	c.Check(b.LatestReport(later, "e", 6), qt.IsNil, qt.Commentf("the endpoint has restarted since the report"))
+	c.Check(b.Limits(later), qt.DeepEquals, []Limit{{Endpoint: "e", Rate: 1.9, LimitedFor: time.Second, Age: time.Second}})
+	c.Check(b.Record(later, "e", Report{Started: 5}), qt.IsTrue, qt.Commentf("other boxes may still apply the limit"))
 	c.Check(b.Limits(later), qt.HasLen, 0)
-	c.Check(b.Heard(later, "e", Word{Limited: true, Rate: 1, Started: 5, Age: 500 * time.Millisecond}), qt.IsTrue)
+	c.Check(b.Record(later, "e", Report{Limited: true, Rate: 1, Started: 5, Age: 500 * time.Millisecond}), qt.IsTrue)
 	c.Check(b.Limits(later), qt.HasLen, 0, qt.Commentf("the report is older than the stored one"))
-	b.Heard(later.Add(liftedRetention), "other", *limitedWord(1, 0))
-	c.Check(b.Word(later.Add(liftedRetention), "e", 5), qt.IsNil, qt.Commentf("forgotten"))
+	b.Record(later.Add(liftedRetention), "other", *limitedWord(1, 0))
+	c.Check(b.LatestReport(later.Add(liftedRetention), "e", 5), qt.IsNil, qt.Commentf("forgotten"))
 }
 
 func TestBookSizeIsLimited(t *testing.T) {
 	c := qt.New(t)
 	b := newBook(3)
 	for i := range maxEntries + 100 {
-		b.Heard(base.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), *limitedWord(1, 0))
+		b.Record(base.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), *limitedWord(1, 0))
 	}
 	c.Check(len(b.entries), qt.Equals, maxEntries)
-	c.Check(b.Word(base, "0", 0), qt.IsNil)
-	c.Check(b.Word(base, fmt.Sprint(maxEntries+99), 0), qt.IsNotNil)
+	c.Check(b.LatestReport(base, "0", 0), qt.IsNil)
+	c.Check(b.LatestReport(base, fmt.Sprint(maxEntries+99), 0), qt.IsNotNil)
 }
 
 // TestRetriesAreSpreadOverTheRate sends 100 requests at once to five endpoints that accept two requests per second each. Retries
@@ -55,10 +55,10 @@
 	for range boxes {
 		b := newBook(boxes)
 		for _, name := range names {
-			b.Heard(base, name, *limitedWord(2, 0))
+			b.Record(base, name, *limitedWord(2, 0))
 		}
 		for range 100 / boxes {
-			retriesPerSecond[int(b.ComeBack(base, "s", func() []string { return names }, 100*time.Millisecond).Seconds())]++
+			retriesPerSecond[int(b.RetryAfter(base, "s", func() []string { return names }, 100*time.Millisecond).Seconds())]++
 		}
 	}
 	c.Logf("retries in each second: %v", retriesPerSecond)
@@ -72,17 +72,17 @@
 func BenchmarkBookWithoutRates(b *testing.B) {
 	book := newBook(3)
 	for b.Loop() {
-		book.Word(base, "e", 1)
-		book.Heard(base, "e", Word{Started: 1})
+		book.LatestReport(base, "e", 1)
+		book.Record(base, "e", Report{Started: 1})
 	}
 }
 
 // BenchmarkBook measures the cost per request to an endpoint that has a rate limit.
 func BenchmarkBook(b *testing.B) {
 	book := newBook(3)
-	book.Heard(base, "e", *limitedWord(1, 1))
+	book.Record(base, "e", *limitedWord(1, 1))
 	for b.Loop() {
-		book.Word(base, "e", 1)
-		book.Heard(base, "e", *limitedWord(1, 1))
+		book.LatestReport(base, "e", 1)
+		book.Record(base, "e", *limitedWord(1, 1))
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -32,18 +32,18 @@
 	ownShareIdle = 2 * time.Second
 )
 
-// Ask describes a request that is to be sent to an endpoint.
-type Ask struct {
+// Request describes a request that is to be sent to an endpoint.
+type Request struct {
 	// Urgency is higher for requests that take precedence.
 	Urgency int
 	// Customer owns the request. It is empty if unknown.
 	Customer string
-	// Dear is true if the request costs more at this endpoint than elsewhere, because its adapter must be loaded first. Such
+	// Costly is true if the request costs more at this endpoint than elsewhere, because its adapter must be loaded first. Such
 	// requests only use tokens that no other request needs.
-	Dear bool
-	// Lone, if positive, is the part of the rate that this box may use because other boxes may count requests to the same
+	Costly bool
+	// OwnShare, if positive, is the part of the rate that this box may use because other boxes may count requests to the same
 	// endpoint.
-	Lone float64
+	OwnShare float64
 }
 
 // Limiter enforces the rate limit of one endpoint with a token bucket. Its zero value has no limit and allows all requests. It
@@ -65,9 +65,9 @@
 	refused        int
 }
 
-// Hear applies a report of the endpoint if it is newer than the previous one. A new limit starts without tokens, because the box
+// ApplyReport applies a report of the endpoint if it is newer than the previous one. A new limit starts without tokens, because the box
 // that counted the requests before may have just used all of them.
-func (l *Limiter) Hear(now time.Time, w *Word) {
+func (l *Limiter) ApplyReport(now time.Time, w *Report) {
 	if w == nil {
 		return
 	}
@@ -83,23 +83,23 @@
 	l.observed = next
 }
 
-// Born records the latest start time of the endpoint in Unix milliseconds, zero if unknown. Reports from before that time become
+// SetStart records the latest start time of the endpoint in Unix milliseconds, zero if unknown. Reports from before that time become
 // void.
-func (l *Limiter) Born(started int64) {
+func (l *Limiter) SetStart(started int64) {
 	if started <= l.started {
 		return
 	}
 	l.started = started
 	if l.observed.Started < started {
-		l.Forget()
+		l.Reset()
 	}
 }
 
-// Forget discards all state except the start time of the endpoint.
-func (l *Limiter) Forget() { *l = Limiter{started: l.started} }
+// Reset discards all state except the start time of the endpoint.
+func (l *Limiter) Reset() { *l = Limiter{started: l.started} }
 
-// Word returns the latest report of the endpoint, or nil if the endpoint has no rate limit.
-func (l *Limiter) Word(now time.Time) *Word {
+// CurrentReport returns the latest report of the endpoint, or nil if the endpoint has no rate limit.
+func (l *Limiter) CurrentReport(now time.Time) *Report {
 	if !l.observed.Limited {
 		return nil
 	}
@@ -107,8 +107,8 @@
 	return &w
 }
 
-// Limited reports whether the endpoint has a rate limit.
-func (l *Limiter) Limited() bool { return l.observed.Limited }
+// IsLimited reports whether the endpoint has a rate limit.
+func (l *Limiter) IsLimited() bool { return l.observed.Limited }
 
 // CanForget reports whether the limiter can be discarded because it has no limit or an outdated one.
 func (l *Limiter) CanForget(now time.Time) bool {
@@ -120,11 +120,11 @@
 
 // Check reports whether a request may be sent. If it may not, wait is the time until enough tokens will be available. Check does
 // not consume a token; Use does.
-func (l *Limiter) Check(now time.Time, a Ask) (wait time.Duration, ok bool) {
+func (l *Limiter) Check(now time.Time, a Request) (wait time.Duration, ok bool) {
 	if !l.observed.Limited {
 		return 0, true
 	}
-	l.setOwnShare(now, a.Lone)
+	l.setOwnShare(now, a.OwnShare)
 	l.recordRequest(now, a)
 	missingTokens := l.requiredTokens(now, a) - l.tokens
 	if missingTokens <= 0 {
@@ -190,7 +190,7 @@
 }
 
 // recordRequest records the urgency and the customer of a new request.
-func (l *Limiter) recordRequest(now time.Time, a Ask) {
+func (l *Limiter) recordRequest(now time.Time, a Request) {
 	if a.Urgency >= l.highestUrgency || !now.Before(l.urgentUntil) {
 		l.highestUrgency, l.urgentUntil = a.Urgency, now.Add(urgentPeriod)
 	}
@@ -199,9 +199,9 @@
 
 // requiredTokens returns the number of tokens that must be available before a request may be sent. A costly request requires the
 // full capacity. A request requires one token less if urgent requests or other customers take precedence over it.
-func (l *Limiter) requiredTokens(now time.Time, a Ask) float64 {
+func (l *Limiter) requiredTokens(now time.Time, a Request) float64 {
 	switch {
-	case a.Dear:
+	case a.Costly:
 		return l.capacity()
 	case a.Urgency < l.highestUrgency || l.shares.isOverShare(now, a.Customer):
 		return max(1, l.capacity()-1)
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -41,12 +41,12 @@
 	return n
 }
 
-func limitedWord(rate float64, started int64) *Word {
-	return &Word{Limited: true, Rate: rate, Started: started}
+func limitedWord(rate float64, started int64) *Report {
+	return &Report{Limited: true, Rate: rate, Started: started}
 }
 
 // tryUse checks whether a request is allowed, and consumes a token if it is.
-func tryUse(l *Limiter, now time.Time, a Ask) bool {
+func tryUse(l *Limiter, now time.Time, a Request) bool {
 	_, ok := l.Check(now, a)
 	if ok {
 		l.Use(now, a.Customer)
@@ -62,12 +62,12 @@
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := &Limiter{}
-			l.Hear(base, limitedWord(test.rate, 0))
+			l.ApplyReport(base, limitedWord(test.rate, 0))
 			var sentAt []time.Time
 			end := base.Add(200 * time.Second)
 			for now := base; now.Before(end); {
 				now = now.Add(time.Duration(rng.ExpFloat64() / test.demand * float64(time.Second)))
-				if tryUse(l, now, Ask{}) {
+				if tryUse(l, now, Request{}) {
 					sentAt = append(sentAt, now)
 				}
 			}
@@ -83,35 +83,35 @@
 	c := qt.New(t)
 	l := &Limiter{}
 	for range 1000 {
-		c.Assert(tryUse(l, base, Ask{}), qt.IsTrue)
+		c.Assert(tryUse(l, base, Request{}), qt.IsTrue)
 	}
-	l.Hear(base, limitedWord(1, 7))
-	c.Check(tryUse(l, base, Ask{}), qt.IsFalse, qt.Commentf("a new limit starts without tokens"))
+	l.ApplyReport(base, limitedWord(1, 7))
+	c.Check(tryUse(l, base, Request{}), qt.IsFalse, qt.Commentf("a new limit starts without tokens"))
 	now := base.Add(10 * time.Second)
-	c.Check(tryUse(l, now, Ask{}), qt.IsTrue)
-	l.Hear(now, &Word{Started: 7, Age: time.Minute})
-	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("an older report without a limit is ignored"))
-	l.Hear(now, &Word{Started: 6})
-	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("a report from before the endpoint's restart is ignored"))
-	l.Hear(now, &Word{Started: 7})
-	c.Check(l.Limited(), qt.IsFalse)
-	l.Hear(now.Add(time.Second), limitedWord(1, 7))
-	c.Check(l.Limited(), qt.IsTrue, qt.Commentf("the endpoint reports a limit again"))
-	l.Born(8)
-	c.Check(l.Limited(), qt.IsFalse, qt.Commentf("a restarted endpoint has not reported a limit"))
-	l.Hear(now.Add(2*time.Second), limitedWord(1, 7))
-	c.Check(l.Limited(), qt.IsFalse, qt.Commentf("a late report from before the restart is ignored"))
-	l.Hear(now.Add(2*time.Second), limitedWord(1, 8))
-	c.Check(l.Limited(), qt.IsTrue)
+	c.Check(tryUse(l, now, Request{}), qt.IsTrue)
+	l.ApplyReport(now, &Report{Started: 7, Age: time.Minute})
+	c.Check(l.IsLimited(), qt.IsTrue, qt.Commentf("an older report without a limit is ignored"))
+	l.ApplyReport(now, &Report{Started: 6})
+	c.Check(l.IsLimited(), qt.IsTrue, qt.Commentf("a report from before the endpoint's restart is ignored"))
+	l.ApplyReport(now, &Report{Started: 7})
+	c.Check(l.IsLimited(), qt.IsFalse)
+	l.ApplyReport(now.Add(time.Second), limitedWord(1, 7))
+	c.Check(l.IsLimited(), qt.IsTrue, qt.Commentf("the endpoint reports a limit again"))
+	l.SetStart(8)
+	c.Check(l.IsLimited(), qt.IsFalse, qt.Commentf("a restarted endpoint has not reported a limit"))
+	l.ApplyReport(now.Add(2*time.Second), limitedWord(1, 7))
+	c.Check(l.IsLimited(), qt.IsFalse, qt.Commentf("a late report from before the restart is ignored"))
+	l.ApplyReport(now.Add(2*time.Second), limitedWord(1, 8))
+	c.Check(l.IsLimited(), qt.IsTrue)
 }
 
 func TestZeroRateIsProbed(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
-	l.Hear(base, limitedWord(0, 0))
+	l.ApplyReport(base, limitedWord(0, 0))
 	sent := 0
 	for now := base; now.Before(base.Add(10 * zeroRateInterval)); now = now.Add(100 * time.Millisecond) {
-		if tryUse(l, now, Ask{Urgency: rand.IntN(3), Dear: rand.IntN(2) == 0}) {
+		if tryUse(l, now, Request{Urgency: rand.IntN(3), Costly: rand.IntN(2) == 0}) {
 			sent++
 		}
 	}
@@ -131,7 +131,7 @@
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := &Limiter{}
-			l.Hear(base, limitedWord(2, 0))
+			l.ApplyReport(base, limitedWord(2, 0))
 			total, sent := map[int]float64{}, map[int]float64{}
 			for now := base; now.Before(base.Add(200 * time.Second)); {
 				now = now.Add(time.Duration(rng.ExpFloat64() / 8 * float64(time.Second)))
@@ -140,7 +140,7 @@
 					urgency = 9
 				}
 				total[urgency]++
-				if tryUse(l, now, Ask{Urgency: urgency}) {
+				if tryUse(l, now, Request{Urgency: urgency}) {
 					sent[urgency]++
 				}
 			}
@@ -157,7 +157,7 @@
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	l := &Limiter{}
-	l.Hear(base, limitedWord(4, 0))
+	l.ApplyReport(base, limitedWord(4, 0))
 	sent := map[string]int{}
 	for now := base; now.Before(base.Add(100 * time.Second)); {
 		now = now.Add(time.Duration(rng.ExpFloat64() / 26 * float64(time.Second)))
@@ -165,7 +165,7 @@
 		if n := rng.IntN(13); n < 3 {
 			customer = fmt.Sprint("small-", n)
 		}
-		if tryUse(l, now, Ask{Customer: customer}) {
+		if tryUse(l, now, Request{Customer: customer}) {
 			sent[customer]++
 		}
 	}
@@ -181,17 +181,17 @@
 func TestCostlyRequestsGetUnusedRate(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
-	l.Hear(base, limitedWord(1, 0))
+	l.ApplyReport(base, limitedWord(1, 0))
 	costly := 0
 	for now := base; now.Before(base.Add(60 * time.Second)); now = now.Add(200 * time.Millisecond) {
-		if tryUse(l, now, Ask{Dear: true}) {
+		if tryUse(l, now, Request{Costly: true}) {
 			costly++
 		}
-		tryUse(l, now, Ask{})
+		tryUse(l, now, Request{})
 	}
 	c.Check(costly, qt.Equals, 0)
 	for now := base.Add(60 * time.Second); now.Before(base.Add(120 * time.Second)); now = now.Add(200 * time.Millisecond) {
-		if tryUse(l, now, Ask{Dear: true}) {
+		if tryUse(l, now, Request{Costly: true}) {
 			costly++
 		}
 	}
@@ -210,18 +210,18 @@
 		t.Run(fmt.Sprint(test), func(t *testing.T) {
 			c := qt.New(t)
 			keeper, others := &Limiter{}, make([]Limiter, test.boxes-1)
-			keeper.Hear(base, limitedWord(test.rate, 0))
+			keeper.ApplyReport(base, limitedWord(test.rate, 0))
 			for i := range others {
-				others[i].Hear(base, limitedWord(test.rate, 0))
+				others[i].ApplyReport(base, limitedWord(test.rate, 0))
 			}
 			var sentAt []time.Time
 			fromOwnShares := 0
 			for now := base; now.Before(base.Add(60 * time.Second)); now = now.Add(20 * time.Millisecond) {
-				if test.keeperRuns && tryUse(keeper, now, Ask{}) {
+				if test.keeperRuns && tryUse(keeper, now, Request{}) {
 					sentAt = append(sentAt, now)
 				}
 				for i := range others {
-					if tryUse(&others[i], now, Ask{Lone: ownShareTotal / float64(test.boxes)}) {
+					if tryUse(&others[i], now, Request{OwnShare: ownShareTotal / float64(test.boxes)}) {
 						sentAt = append(sentAt, now)
 						fromOwnShares++
 					}
@@ -243,27 +243,27 @@
 		boxes := rapid.IntRange(2, 40).Draw(t, "boxes")
 		word := limitedWord(rate, 0)
 		keeper, others := &Limiter{}, make([]Limiter, boxes)
-		keeper.Hear(base, word)
+		keeper.ApplyReport(base, word)
 		var sentAt []time.Time
 		now := base
 		for range rapid.IntRange(1, 12).Draw(t, "losses") {
 			// A keeper keeps its role for at least some seconds: boxes that come and go more often are removed from the map of
 			// boxes.
 			for until := now.Add(time.Duration(rapid.IntRange(4000, 20000).Draw(t, "keeper ms")) * time.Millisecond); now.Before(until); now = now.Add(50 * time.Millisecond) {
-				if tryUse(keeper, now, Ask{}) {
+				if tryUse(keeper, now, Request{}) {
 					sentAt = append(sentAt, now)
 				}
 			}
 			for until := now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap ms")) * time.Millisecond); now.Before(until); now = now.Add(50 * time.Millisecond) {
 				for i := range others {
-					others[i].Hear(now, word)
-					if tryUse(&others[i], now, Ask{Lone: ownShareTotal / float64(boxes)}) {
+					others[i].ApplyReport(now, word)
+					if tryUse(&others[i], now, Request{OwnShare: ownShareTotal / float64(boxes)}) {
 						sentAt = append(sentAt, now)
 					}
 				}
 			}
 			keeper = &Limiter{}
-			keeper.Hear(now, word)
+			keeper.ApplyReport(now, word)
 		}
 		if maxPerWindow(sentAt) > allowedPerWindow(rate) {
 			t.Fatalf("%d requests in %v, allowed %d", maxPerWindow(sentAt), window, allowedPerWindow(rate))
@@ -302,10 +302,10 @@
 
 func BenchmarkLimiter(b *testing.B) {
 	l := &Limiter{}
-	l.Hear(base, limitedWord(1.9, 0))
+	l.ApplyReport(base, limitedWord(1.9, 0))
 	now := base
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		tryUse(l, now, Ask{Customer: "one"})
+		tryUse(l, now, Request{Customer: "one"})
 	}
 }
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -12,8 +12,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Word is a report of the rate limit of an endpoint, which applies to the requests from all boxes together.
-type Word struct {
+// Report is a report of the rate limit of an endpoint, which applies to the requests from all boxes together.
+type Report struct {
 	// Limited is true if the endpoint reported a rate limit, and false if it sent a response without one.
 	Limited bool `json:"limited,omitempty"`
 	// Rate is the limit in requests per second. Zero means that the endpoint accepts no requests.
@@ -26,7 +26,7 @@
 }
 
 // effectiveRate returns the number of requests per second to send. It is never zero, so that each limit is probed again.
-func (w Word) effectiveRate() float64 {
+func (w Report) effectiveRate() float64 {
 	if w.Rate == 0 {
 		return 1 / zeroRateInterval.Seconds()
 	}
@@ -34,22 +34,22 @@
 }
 
 // toObservation replaces the age of a report with a time on this box's clock.
-func (w Word) toObservation(now time.Time) observation {
-	o := observation{Word: w, at: now.Add(-w.Age)}
+func (w Report) toObservation(now time.Time) observation {
+	o := observation{Report: w, at: now.Add(-w.Age)}
 	o.Age = 0
 	return o
 }
 
-// Named parses the rate limit from the values of a header. Without values the result has no limit. An invalid rate is an error.
-func Named(values []string) (Word, error) {
+// ParseHeader parses the rate limit from the values of a header. Without values the result has no limit. An invalid rate is an error.
+func ParseHeader(values []string) (Report, error) {
 	if len(values) == 0 {
-		return Word{}, nil
+		return Report{}, nil
 	}
 	rate, err := Parse(values[0])
 	if err != nil {
-		return Word{}, err
+		return Report{}, err
 	}
-	return Word{Limited: true, Rate: rate}, nil
+	return Report{Limited: true, Rate: rate}, nil
 }
 
 // Parse parses a rate in requests per second. The rate must be a finite number and must not be negative.
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -234,7 +234,7 @@
 
 // askOwner asks the owner of a candidate, on this box or on another one, for a grant.
 func (r *Relay) askOwner(ctx context.Context, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
-	a.Engine, a.Rate = c.name, r.cfg.Rates.Word(clock.Now(), c.name, c.started)
+	a.Engine, a.Rate = c.name, r.cfg.Rates.LatestReport(clock.Now(), c.name, c.started)
 	if runner, ok := r.cfg.Owners.Get(c.name); ok {
 		return r.acquireLocal(ctx, runner, c, a)
 	}
@@ -292,7 +292,7 @@
 	if best == nil {
 		return nil
 	}
-	if _, ok := r.cfg.Rates.TakeLone(now, best.name, best.started); !ok {
+	if _, ok := r.cfg.Rates.TakeOwnShare(now, best.name, best.started); !ok {
 		best.rateExhausted = true
 		return r.chooseWithoutOwner(candidates, ref)
 	}
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -42,10 +42,10 @@
 // does not come from the requested endpoint.
 func TestNoticesOfOtherEndpointsAreIgnored(t *testing.T) {
 	c := qt.New(t)
-	rates := ratelimit.NewBook(ratelimit.BookConfig{Boxes: func() int { return 1 }, Scope: tally.NoopScope})
+	rates := ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: func() int { return 1 }, Scope: tally.NoopScope})
 	board := notice.NewBoard(notice.BoardConfig{Scope: tally.NoopScope})
 	r := New(Config{Rates: rates, Notices: board, Scope: tally.NoopScope})
-	word := notice.Word{Rate: ratelimit.Word{Limited: true}, Leaving: true, Rest: time.Minute}
+	word := notice.Word{Rate: ratelimit.Report{Limited: true}, Leaving: true, Rest: time.Minute}
 	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r0", Notice: word}, false)
 	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r1", Elsewhere: true, Notice: word}, false)
 	c.Check(rates.Limits(clock.Now()), qt.HasLen, 0)
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -13,21 +13,21 @@
 // answers may lack any header.
 func (r *Relay) handleRate(to destination, word notice.Word, valid bool) {
 	if word.RateErr != nil {
-		r.cfg.Rates.Ignored(clock.Now(), to.name, word.RateErr)
+		r.cfg.Rates.RecordInvalid(clock.Now(), to.name, word.RateErr)
 		return
 	}
-	if !word.Rate.Limited && (!valid || !r.cfg.Rates.Any()) {
+	if !word.Rate.Limited && (!valid || !r.cfg.Rates.HasReports()) {
 		return
 	}
 	word.Rate.Started = to.started
-	if r.cfg.Rates.Heard(clock.Now(), to.name, word.Rate) {
+	if r.cfg.Rates.Record(clock.Now(), to.name, word.Rate) {
 		r.forwardRateToOwner(to.name, word.Rate)
 	}
 }
 
 // forwardRateToOwner sends the rate limit of an engine to the engine's owner at once, because the end of a stream may
 // be seconds away. The box that counts the requests at a plain endpoint receives the limit when this request ends.
-func (r *Relay) forwardRateToOwner(engine string, word ratelimit.Word) {
+func (r *Relay) forwardRateToOwner(engine string, word ratelimit.Report) {
 	if runner, ok := r.cfg.Owners.Get(engine); ok {
 		runner.HearRate(word)
 		return
@@ -50,7 +50,7 @@
 
 // isRateExhausted reports whether an endpoint's rate recently left nothing for requests with this request's urgency.
 func (r *Relay) isRateExhausted(q *request, endpoint string) bool {
-	return r.cfg.Rates.Any() && r.exhaustedRates.Has(exhaustedRate{endpoint, q.urgency()}, clock.Now())
+	return r.cfg.Rates.HasReports() && r.exhaustedRates.Has(exhaustedRate{endpoint, q.urgency()}, clock.Now())
 }
 
 // markRateExhausted records that an endpoint's rate left nothing for a request.
@@ -83,7 +83,7 @@
 	if rerr == nil || rerr.Code != result.RateLimited {
 		return rerr
 	}
-	rerr.RetryAfter = r.cfg.Rates.ComeBack(clock.Now(), q.service, func() []string { return r.endpointNames(q.service) }, q.rateLimited.shortestWait)
+	rerr.RetryAfter = r.cfg.Rates.RetryAfter(clock.Now(), q.service, func() []string { return r.endpointNames(q.service) }, q.rateLimited.shortestWait)
 	return rerr
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -72,7 +72,7 @@
 	// Quarantine identifies the requests that are sent to no endpoint because endpoints crashed while running them.
 	Quarantine *quarantine.Client
 	// Rates holds the request rates, in requests per second, that endpoints reported as their limits.
-	Rates *ratelimit.Book
+	Rates *ratelimit.Registry
 	// Notices holds the other notices of endpoints: that they are leaving, or that they request a rest.
 	Notices *notice.Board
 }
