--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -107,9 +107,9 @@
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
 	b.rates = ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: func() int { return len(b.catalog.Topology().Boxes) }, Scope: b.metrics.Scope})
-	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, heard bool) {
+	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, OnLeaving: func(e notice.Endpoint, heard bool) {
 		if heard {
-			b.teller.Leaves(e)
+			b.teller.ReportLeaving(e)
 		}
 	}})
 	b.teller = newTeller(tellerConfig{Board: b.notices, Catalog: b.catalog, Box: cfg.Settings.Box.Name, Scope: b.metrics.Scope})
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -148,17 +148,17 @@
 
 // buildNotices builds what is known of endpoints by their own word. The fleet's view has it at once; owners learn it, and other boxes are told.
 func (b *Routed) buildNotices() {
-	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, heard bool) {
+	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, OnLeaving: func(e notice.Endpoint, heard bool) {
 		b.catalog.InvalidateTopology()
 		if runner, ok := b.owners.Get(e.Name); ok {
 			runner.HearLeft()
 		}
 		if heard {
-			b.teller.Leaves(e)
+			b.teller.ReportLeaving(e)
 		}
 	}})
 	b.catalog.SetLeavingFunc(func(endpoint string, started int64) bool {
-		return b.notices.Any() && b.notices.Leaves(clock.Now(), notice.Endpoint{Name: endpoint, Started: started})
+		return b.notices.HasEntries() && b.notices.IsLeaving(clock.Now(), notice.Endpoint{Name: endpoint, Started: started})
 	})
 	b.teller = newTeller(tellerConfig{Board: b.notices, Catalog: b.catalog, Box: b.cfg.Settings.Box.Name, Scope: b.metrics.Scope})
 }
@@ -302,7 +302,7 @@
 // Ready reports whether this box takes requests: it knows routes and endpoints, and which of these leave, and is not leaving.
 func (b *Routed) Ready() bool {
 	t := b.catalog.Topology()
-	return b.follower.IsReady() && t.Routes != nil && len(t.Endpoints) > 0 && b.leavingFor() == 0 && b.teller.CaughtUp()
+	return b.follower.IsReady() && t.Routes != nil && len(t.Endpoints) > 0 && b.leavingFor() == 0 && b.teller.IsCaughtUp()
 }
 
 // Run serves until ctx ends, then leaves.
--- a/internal/box/teller.go
+++ b/internal/box/teller.go
@@ -25,7 +25,7 @@
 func newTeller(cfg tellerConfig) *notice.Client {
 	return notice.NewClient(notice.ClientConfig{
 		HTTP: &http.Client{Transport: httpx.NewOnceTransport()}, Board: cfg.Board, Scope: cfg.Scope,
-		Others: func() []netip.AddrPort { return othersOf(cfg.Catalog, cfg.Box) },
+		OtherBoxes: func() []netip.AddrPort { return othersOf(cfg.Catalog, cfg.Box) },
 	})
 }
 
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -66,12 +66,12 @@
 
 // addNotices adds the endpoints that are leaving, with the time since their notice, and the endpoints that requested a pause, with the
 // remaining time of the pause.
-func (s *summary) addNotices(leaving []notice.Left, paused []notice.Resting) {
+func (s *summary) addNotices(leaving []notice.LeavingEndpoint, paused []notice.PausedEndpoint) {
 	for _, l := range leaving {
 		s.leavingEndpoints = append(s.leavingEndpoints, fmt.Sprintf("%s %s ago", l.Endpoint, l.Age.Round(time.Second)))
 	}
 	for _, r := range paused {
-		s.pausedEndpoints = append(s.pausedEndpoints, fmt.Sprintf("%s for %s", r.Endpoint, r.Left.Round(time.Second/10)))
+		s.pausedEndpoints = append(s.pausedEndpoints, fmt.Sprintf("%s for %s", r.Endpoint, r.Remaining.Round(time.Second/10)))
 	}
 }
 
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -43,7 +43,7 @@
 }
 
 // Headers names the response headers in which engines and services announce their own state on bellgap's own interface.
-var Headers = notice.Headers{Rate: result.HeaderRate, Leaving: result.HeaderLeaving}
+var Headers = notice.HeaderNames{Rate: result.HeaderRate, Leaving: result.HeaderLeaving}
 
 // Client is an HTTP client for engines.
 type Client struct {
@@ -113,7 +113,7 @@
 	Urgency string
 	Body    []byte
 	// Notice, if set, is called with the state that the engine announces in the response headers.
-	Notice func(notice.Word)
+	Notice func(notice.HeaderNotices)
 }
 
 // Run sends a call and returns the answer once the response headers have arrived. The error is a *result.Error, whose result code
@@ -157,14 +157,14 @@
 
 // statusError returns the error for a response with a status other than 200. If its body is a refusal of a known type, the engine
 // did not run the request. Otherwise the engine may have run it.
-func statusError(resp *http.Response, engineNotice notice.Word) *result.Error {
+func statusError(resp *http.Response, engineNotice notice.HeaderNotices) *result.Error {
 	r := decodeRefusal(resp.Body)
 	switch r.Error.Type {
 	case RefusalNotLoaded, RefusalNoSlot:
 		return result.New(result.BackendRefused, "%s: %s", r.Error.Type, r.Error.Message)
 	case RefusalBusy:
 		rerr := result.New(result.EndpointResting, "%s", r.Error.Message)
-		rerr.RetryAfter = engineNotice.Rest
+		rerr.RetryAfter = engineNotice.RetryAfter
 		return rerr
 	case RefusalBadRequest:
 		return result.New(result.BadRequest, "%s", r.Error.Message)
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -72,7 +72,7 @@
 	Filled int64 `json:"filled"`
 	// Notice is the state that the engine announces in the response headers, even if it refuses to send the report. An unset
 	// field means that the engine announced nothing about it.
-	Notice notice.Word `json:"-"`
+	Notice notice.HeaderNotices `json:"-"`
 	// TakenAt is the time at which the report was correct, on the engine's clock.
 	TakenAt time.Time `json:"taken_at"`
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -185,7 +185,7 @@
 	}
 	answer, err := g.cfg.Engines.Run(ctx, engine.Call{
 		Address: grant.Engine.Address, Path: j.path, Ref: j.ref, RunID: j.runID, Urgency: strconv.Itoa(j.urgency), Body: j.body,
-		Notice: func(w notice.Word) { g.recordEngineNotice(grant, w) },
+		Notice: func(w notice.HeaderNotices) { g.recordEngineNotice(grant, w) },
 	})
 	if err != nil {
 		rerr := result.From(err, result.AnswerLost)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -21,7 +21,7 @@
 
 // recordEngineNotice records the rate limit and the notices in the header of an engine's answer. No request is sent to an engine
 // without its owner, so only the owner needs to know that the engine is leaving. A rest applies to the box that sent the request: here, the owner.
-func (g *Gateway) recordEngineNotice(grant *owner.Grant, w notice.Word) {
+func (g *Gateway) recordEngineNotice(grant *owner.Grant, w notice.HeaderNotices) {
 	now := clock.Now()
 	if w.RateErr != nil {
 		g.cfg.Rates.RecordInvalid(now, grant.Name, w.RateErr)
@@ -36,12 +36,14 @@
 		grant.HearLeft()
 		w.Leaving = false
 	}
-	g.cfg.Notices.Heard(now, engineEndpoint(grant.Name), w)
+	g.cfg.Notices.RecordNotices(now, engineEndpoint(grant.Name), w)
 }
 
 // engineEndpoint returns the endpoint of an engine on the notice board. Reused is set because no start time is needed:
 // a rest ends sooner than the engine could restart and ask for another rest.
-func engineEndpoint(name string) notice.Endpoint { return notice.Endpoint{Name: name, Reused: true} }
+func engineEndpoint(name string) notice.Endpoint {
+	return notice.Endpoint{Name: name, NameReused: true}
+}
 
 // recordServiceNotice records the rate limit and the notices in the header of a service's answer for the address that answered.
 func (g *Gateway) recordServiceNotice(a netip.AddrPort, resp *http.Response) {
@@ -51,12 +53,12 @@
 	} else {
 		g.cfg.Rates.Record(now, a.String(), w.Rate)
 	}
-	g.cfg.Notices.Heard(now, notice.Endpoint{Name: a.String(), Reused: true}, w)
+	g.cfg.Notices.RecordNotices(now, notice.Endpoint{Name: a.String(), NameReused: true}, w)
 }
 
 // checkRest returns an error if an engine or address has asked this box for a rest.
 func (g *Gateway) checkRest(name string) *result.Error {
-	if wait := g.cfg.Notices.Rest(clock.Now(), engineEndpoint(name)); wait > 0 {
+	if wait := g.cfg.Notices.RemainingPause(clock.Now(), engineEndpoint(name)); wait > 0 {
 		return restingError(name, wait)
 	}
 	return nil
@@ -78,8 +80,8 @@
 
 // checkAddress returns an error if an address of a service is leaving or has asked for a rest.
 func (g *Gateway) checkAddress(address string) *result.Error {
-	e := notice.Endpoint{Name: address, Reused: true}
-	if g.cfg.Notices.Leaves(clock.Now(), e) {
+	e := notice.Endpoint{Name: address, NameReused: true}
+	if g.cfg.Notices.IsLeaving(clock.Now(), e) {
 		return result.New(result.EndpointLeaving, "%s", address)
 	}
 	return g.checkRest(address)
@@ -90,12 +92,12 @@
 	if rerr := g.checkAddress(address); rerr != nil {
 		return rerr
 	}
-	return g.admit(notice.Endpoint{Name: address, Reused: true})
+	return g.admit(notice.Endpoint{Name: address, NameReused: true})
 }
 
 // admit counts a request to an endpoint as sent, or returns an error if the endpoint has asked for a rest.
 func (g *Gateway) admit(e notice.Endpoint) *result.Error {
-	if wait, ok := g.cfg.Notices.Enter(clock.Now(), e); !ok {
+	if wait, ok := g.cfg.Notices.AllowRequest(clock.Now(), e); !ok {
 		return restingError(e.Name, wait)
 	}
 	return nil
--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -44,12 +44,12 @@
 	// Started is the start time in Unix milliseconds, or zero if unknown. If it is zero, a later incarnation has another name,
 	// unless Reused is set.
 	Started int64
-	// Reused reports that a later incarnation may have the same name and that nothing distinguishes the two.
-	Reused bool
+	// NameReused reports that a later incarnation may have the same name and that nothing distinguishes the two.
+	NameReused bool
 }
 
-// Left is the report that an endpoint is leaving, in the form that boxes send to each other.
-type Left struct {
+// LeavingEndpoint is the report that an endpoint is leaving, in the form that boxes send to each other.
+type LeavingEndpoint struct {
 	Endpoint   string `json:"endpoint"`
 	Started    int64  `json:"started,omitempty"`
 	NameReused bool   `json:"reused,omitempty"`
@@ -60,9 +60,9 @@
 // BoardConfig configures a Board.
 type BoardConfig struct {
 	Scope tally.Scope
-	// Leaves, if set, is called for each new report that an endpoint is leaving. The argument direct is true if the endpoint
+	// OnLeaving, if set, is called for each new report that an endpoint is leaving. The argument direct is true if the endpoint
 	// itself announced it to this box and false if another box reported it.
-	Leaves func(e Endpoint, direct bool)
+	OnLeaving func(e Endpoint, direct bool)
 }
 
 // Board stores which endpoints are leaving and which have requested a pause, as known to one box. A nil Board has no entries and
@@ -126,8 +126,8 @@
 	}
 }
 
-// Heard records the notices in an answer that this box received from an endpoint.
-func (b *Board) Heard(now time.Time, e Endpoint, w Word) {
+// RecordNotices records the notices in an answer that this box received from an endpoint.
+func (b *Board) RecordNotices(now time.Time, e Endpoint, w HeaderNotices) {
 	if b == nil {
 		return
 	}
@@ -136,13 +136,13 @@
 	if w.ClosesConnection {
 		b.cfg.Scope.Counter("answers_closing").Inc(1)
 	}
-	if w.Leaving && b.recordLeaving(e, leavingEntry{e.Started, e.Reused, now}, now) {
+	if w.Leaving && b.recordLeaving(e, leavingEntry{e.Started, e.NameReused, now}, now) {
 		b.notifyLeaving(e, true)
 	}
 	switch {
-	case w.Rest > 0:
-		b.recordPause(now, e, w.Rest)
-	case b.Any():
+	case w.RetryAfter > 0:
+		b.recordPause(now, e, w.RetryAfter)
+	case b.HasEntries():
 		b.endPause(now, e)
 	}
 }
@@ -159,7 +159,7 @@
 }
 
 // MergeLeaving records the leaving endpoints that another box reported.
-func (b *Board) MergeLeaving(now time.Time, reports []Left) {
+func (b *Board) MergeLeaving(now time.Time, reports []LeavingEndpoint) {
 	if b == nil {
 		return
 	}
@@ -173,8 +173,8 @@
 
 // notifyLeaving calls the Leaves callback, if there is one.
 func (b *Board) notifyLeaving(e Endpoint, direct bool) {
-	if b.cfg.Leaves != nil {
-		b.cfg.Leaves(e, direct)
+	if b.cfg.OnLeaving != nil {
+		b.cfg.OnLeaving(e, direct)
 	}
 }
 
@@ -251,13 +251,13 @@
 	delete(entries, oldest)
 }
 
-// Any reports whether there are entries for any endpoint. Callers that check many endpoints call it first, since reading the
+// HasEntries reports whether there are entries for any endpoint. Callers that check many endpoints call it first, since reading the
 // clock for each endpoint costs more.
-func (b *Board) Any() bool { return b != nil && b.entryCount.Load() > 0 }
+func (b *Board) HasEntries() bool { return b != nil && b.entryCount.Load() > 0 }
 
-// Leaves reports whether this incarnation of an endpoint has announced that it is leaving.
-func (b *Board) Leaves(now time.Time, e Endpoint) bool {
-	if !b.Any() {
+// IsLeaving reports whether this incarnation of an endpoint has announced that it is leaving.
+func (b *Board) IsLeaving(now time.Time, e Endpoint) bool {
+	if !b.HasEntries() {
 		return false
 	}
 	b.mu.Lock()
@@ -266,10 +266,10 @@
 	return ok && l.started >= e.Started && !l.isExpired(now)
 }
 
-// Rest returns how long this box must send no further request to an endpoint: the remaining time of the requested pause
+// RemainingPause returns how long this box must send no further request to an endpoint: the remaining time of the requested pause
 // or, after it, the remaining wait for the answer to the last probe.
-func (b *Board) Rest(now time.Time, e Endpoint) time.Duration {
-	if !b.Any() {
+func (b *Board) RemainingPause(now time.Time, e Endpoint) time.Duration {
+	if !b.HasEntries() {
 		return 0
 	}
 	b.mu.Lock()
@@ -281,10 +281,10 @@
 	return r.remainingWait(now)
 }
 
-// Enter reports whether a request may be sent to an endpoint now. If so, it counts the request as sent; otherwise it returns the
+// AllowRequest reports whether a request may be sent to an endpoint now. If so, it counts the request as sent; otherwise it returns the
 // wait, as Rest does.
-func (b *Board) Enter(now time.Time, e Endpoint) (wait time.Duration, ok bool) {
-	if !b.Any() {
+func (b *Board) AllowRequest(now time.Time, e Endpoint) (wait time.Duration, ok bool) {
+	if !b.HasEntries() {
 		return 0, true
 	}
 	b.mu.Lock()
@@ -301,36 +301,36 @@
 	return 0, true
 }
 
-// Resting describes an endpoint that requested a pause from this box.
-type Resting struct {
+// PausedEndpoint describes an endpoint that requested a pause from this box.
+type PausedEndpoint struct {
 	Endpoint string `json:"endpoint"`
-	// Left is the remaining time of the pause. It is zero while the endpoint gets one request at a time.
-	Left time.Duration `json:"left"`
+	// Remaining is the remaining time of the pause. It is zero while the endpoint gets one request at a time.
+	Remaining time.Duration `json:"left"`
 }
 
-// Rests returns the endpoints that requested a pause from this box, sorted by name.
-func (b *Board) Rests(now time.Time) []Resting {
+// PausedEndpoints returns the endpoints that requested a pause from this box, sorted by name.
+func (b *Board) PausedEndpoints(now time.Time) []PausedEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.removeExpired(now)
-	var all []Resting
+	var all []PausedEndpoint
 	for name, r := range b.paused {
-		all = append(all, Resting{name, max(0, r.until.Sub(now))})
+		all = append(all, PausedEndpoint{name, max(0, r.until.Sub(now))})
 	}
-	slices.SortFunc(all, func(x, y Resting) int { return strings.Compare(x.Endpoint, y.Endpoint) })
+	slices.SortFunc(all, func(x, y PausedEndpoint) int { return strings.Compare(x.Endpoint, y.Endpoint) })
 	return all
 }
 
-// Left returns the endpoints that are leaving, sorted by name.
-func (b *Board) Left(now time.Time) []Left {
+// LeavingEndpoints returns the endpoints that are leaving, sorted by name.
+func (b *Board) LeavingEndpoints(now time.Time) []LeavingEndpoint {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.removeExpired(now)
-	var all []Left
+	var all []LeavingEndpoint
 	for name, l := range b.leaving {
-		all = append(all, Left{name, l.started, l.nameReused, now.Sub(l.reportedAt)})
+		all = append(all, LeavingEndpoint{name, l.started, l.nameReused, now.Sub(l.reportedAt)})
 	}
-	slices.SortFunc(all, func(x, y Left) int { return strings.Compare(x.Endpoint, y.Endpoint) })
+	slices.SortFunc(all, func(x, y LeavingEndpoint) int { return strings.Compare(x.Endpoint, y.Endpoint) })
 	return all
 }
 
--- a/internal/notice/client.go
+++ b/internal/notice/client.go
@@ -51,12 +51,12 @@
 // message is the body of requests and replies between boxes.
 type message struct {
 	// Checksum identifies the set of leaving endpoints that the sender knows, see leavingChecksum.
-	Checksum uint64 `json:"sum"`
-	Leaving  []Left `json:"left,omitempty"`
+	Checksum uint64            `json:"sum"`
+	Leaving  []LeavingEndpoint `json:"left,omitempty"`
 }
 
 // leavingChecksum returns a checksum that is equal on boxes that know the same leaving endpoints, in whatever order.
-func leavingChecksum(reports []Left) uint64 {
+func leavingChecksum(reports []LeavingEndpoint) uint64 {
 	sum := uint64(0)
 	for _, l := range reports {
 		sum ^= xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(l.Endpoint), uint64(l.Started)))
@@ -68,9 +68,9 @@
 type ClientConfig struct {
 	HTTP  *http.Client
 	Board *Board
-	// Others returns the addresses of the other running boxes.
-	Others func() []netip.AddrPort
-	Scope  tally.Scope
+	// OtherBoxes returns the addresses of the other running boxes.
+	OtherBoxes func() []netip.AddrPort
+	Scope      tally.Scope
 }
 
 // Client reports leaving endpoints to the other boxes. The box that receives the announcement notifies all others, because an
@@ -97,8 +97,8 @@
 // Done is closed when Serve has ended.
 func (c *Client) Done() <-chan struct{} { return c.done }
 
-// Leaves queues a report to the other boxes that an endpoint has announced to this box that it is leaving.
-func (c *Client) Leaves(e Endpoint) { c.batcher.Add(struct{}{}, e) }
+// ReportLeaving queues a report to the other boxes that an endpoint has announced to this box that it is leaving.
+func (c *Client) ReportLeaving(e Endpoint) { c.batcher.Add(struct{}{}, e) }
 
 // Serve sends reports and compares with other boxes until ctx ends.
 func (c *Client) Serve(ctx context.Context) error {
@@ -112,14 +112,16 @@
 	return group.Wait()
 }
 
-// CaughtUp reports whether the first comparison after the start is done or given up. It is always true while there are no other
+// IsCaughtUp reports whether the first comparison after the start is done or given up. It is always true while there are no other
 // boxes.
-func (c *Client) CaughtUp() bool { return c.initialCompareDone.Load() || len(c.cfg.Others()) == 0 }
+func (c *Client) IsCaughtUp() bool {
+	return c.initialCompareDone.Load() || len(c.cfg.OtherBoxes()) == 0
+}
 
 // catchUp makes the first comparison, once other boxes are known.
 func (c *Client) catchUp(ctx context.Context) {
 	for attempts := 0; attempts < maxInitialCompares; {
-		if len(c.cfg.Others()) > 0 {
+		if len(c.cfg.OtherBoxes()) > 0 {
 			if c.compare(ctx) {
 				break
 			}
@@ -136,11 +138,11 @@
 func (c *Client) notifyOthers(ctx context.Context, _ struct{}, endpoints []Endpoint) {
 	var m message
 	for _, e := range endpoints {
-		m.Leaving = append(m.Leaving, Left{Endpoint: e.Name, Started: e.Started, NameReused: e.Reused})
+		m.Leaving = append(m.Leaving, LeavingEndpoint{Endpoint: e.Name, Started: e.Started, NameReused: e.NameReused})
 	}
 	var group errgroup.Group
 	group.SetLimit(maxConcurrentCalls)
-	for _, address := range c.cfg.Others() {
+	for _, address := range c.cfg.OtherBoxes() {
 		group.Go(func() error {
 			if _, err := c.post(context.WithoutCancel(ctx), address, pathNotify, m); err != nil {
 				c.cfg.Scope.Counter("notices_untold").Inc(1)
@@ -156,19 +158,19 @@
 // compare exchanges leaving endpoints with a random other box if their checksums differ, so that both know all of them. It
 // reports whether the other box answered.
 func (c *Client) compare(ctx context.Context) bool {
-	others := c.cfg.Others()
+	others := c.cfg.OtherBoxes()
 	if len(others) == 0 {
 		return false
 	}
 	address := others[rand.IntN(len(others))]
-	known := c.cfg.Board.Left(clock.Now())
+	known := c.cfg.Board.LeavingEndpoints(clock.Now())
 	answer, err := c.post(ctx, address, pathCompare, message{Checksum: leavingChecksum(known)})
 	if err != nil {
 		c.cfg.Scope.Counter("notices_uncompared").Inc(1)
 		return false
 	}
 	c.cfg.Board.MergeLeaving(clock.Now(), answer.Leaving)
-	known = c.cfg.Board.Left(clock.Now())
+	known = c.cfg.Board.LeavingEndpoints(clock.Now())
 	if leavingChecksum(known) == answer.Checksum {
 		return true
 	}
--- a/internal/notice/client_test.go
+++ b/internal/notice/client_test.go
@@ -58,9 +58,9 @@
 	boxes := make([]*testBox, n)
 	for i := range boxes {
 		b := &testBox{transport: httpx.NewOnceTransport()}
-		b.board = NewBoard(BoardConfig{Scope: tally.NoopScope, Leaves: func(e Endpoint, direct bool) {
+		b.board = NewBoard(BoardConfig{Scope: tally.NoopScope, OnLeaving: func(e Endpoint, direct bool) {
 			if direct {
-				b.client.Leaves(e)
+				b.client.ReportLeaving(e)
 			}
 		}})
 		mux := http.NewServeMux()
@@ -78,7 +78,7 @@
 	for i, b := range boxes {
 		b.client = NewClient(ClientConfig{
 			HTTP: &http.Client{Transport: b}, Board: b.board, Scope: tally.NoopScope,
-			Others: func() []netip.AddrPort {
+			OtherBoxes: func() []netip.AddrPort {
 				var others []netip.AddrPort
 				for j, other := range boxes {
 					if i != j {
@@ -93,7 +93,7 @@
 	return boxes
 }
 
-func (b *testBox) hasLeaving(e Endpoint) bool { return b.board.Leaves(clock.Now(), e) }
+func (b *testBox) hasLeaving(e Endpoint) bool { return b.board.IsLeaving(clock.Now(), e) }
 
 // awaitLeaving waits until all boxes know that an endpoint is leaving and returns how long that took. It fails the test after
 // limit.
@@ -120,7 +120,7 @@
 	for _, b := range disconnected {
 		b.disconnected.Store(true)
 	}
-	boxes[0].board.Heard(clock.Now(), e, Word{Leaving: true})
+	boxes[0].board.RecordNotices(clock.Now(), e, HeaderNotices{Leaving: true})
 	c.Logf("all connected boxes know after %v", awaitLeaving(c, time.Second, e, boxes[:20]...))
 	for _, b := range disconnected {
 		c.Check(b.hasLeaving(e), qt.IsFalse)
@@ -135,7 +135,7 @@
 	c := qt.New(t)
 	boxes := startBoxes(t, 10)
 	for i, b := range boxes {
-		b.board.MergeLeaving(clock.Now(), []Left{{Endpoint: fmt.Sprint("e", i%2)}})
+		b.board.MergeLeaving(clock.Now(), []LeavingEndpoint{{Endpoint: fmt.Sprint("e", i%2)}})
 	}
 	awaitLeaving(c, 3*time.Second, Endpoint{Name: "e0"}, boxes...)
 	awaitLeaving(c, 3*time.Second, Endpoint{Name: "e1"}, boxes...)
--- a/internal/notice/headers.go
+++ b/internal/notice/headers.go
@@ -24,22 +24,22 @@
 // unavailable.
 const maxRetryAfter = 24 * time.Hour
 
-// Headers holds the names of the headers that are not standard.
-type Headers struct {
+// HeaderNames holds the names of the headers that are not standard.
+type HeaderNames struct {
 	// Rate names the header with the requests per second that the endpoint accepts from all boxes together.
 	Rate string
 	// Leaving names the header by which the endpoint announces that it ends soon.
 	Leaving string
 }
 
-// Word holds the notices that an endpoint sent about itself in the headers of one answer.
-type Word struct {
+// HeaderNotices holds the notices that an endpoint sent about itself in the headers of one answer.
+type HeaderNotices struct {
 	// Rate is the requests per second that the endpoint accepts from all boxes together.
 	Rate ratelimit.Report
 	// Leaving is true if the endpoint ends soon and must get no new requests. False carries no information.
 	Leaving bool
-	// Rest is how long the endpoint requests that this box sends it no requests, or zero if the answer gives no time.
-	Rest time.Duration
+	// RetryAfter is how long the endpoint requests that this box sends it no requests, or zero if the answer gives no time.
+	RetryAfter time.Duration
 	// ClosesConnection is true if the endpoint closes the connection after the answer.
 	ClosesConnection bool
 	// RateErr, LeavingErr and RetryAfterErr describe invalid headers; they are nil for valid or missing ones.
@@ -47,14 +47,14 @@
 }
 
 // Read parses the status and the headers of an answer.
-func (n Headers) Read(status int, h http.Header) Word {
-	var w Word
+func (n HeaderNames) Read(status int, h http.Header) HeaderNotices {
+	var w HeaderNotices
 	w.Rate, w.RateErr = ratelimit.ParseHeader(h.Values(n.Rate))
 	w.Leaving, w.LeavingErr = parseLeaving(h.Values(n.Leaving))
 	w.ClosesConnection = strings.EqualFold(h.Get("Connection"), "close")
 	// With other statuses Retry-After has another meaning, for example when to fetch the result.
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		w.Rest, w.RetryAfterErr = readRetryAfter(h)
+		w.RetryAfter, w.RetryAfterErr = readRetryAfter(h)
 	}
 	return w
 }
--- a/internal/notice/headers_test.go
+++ b/internal/notice/headers_test.go
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var testHeaders = Headers{Rate: "Rate", Leaving: "Leaving"}
+var testHeaders = HeaderNames{Rate: "Rate", Leaving: "Leaving"}
 
 func TestReadRetryAfter(t *testing.T) {
 	const answered = "Thu, 03 Dec 2026 06:00:00 GMT"
@@ -47,7 +47,7 @@
 			}
 			w := testHeaders.Read(test.status, h)
 			c.Check(w.RetryAfterErr == nil, qt.Equals, test.ok)
-			c.Check(w.Rest, qt.Equals, test.want)
+			c.Check(w.RetryAfter, qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/notice/server.go
+++ b/internal/notice/server.go
@@ -34,7 +34,7 @@
 		if !result.ReadJSON(w, r, maxMessageBytes, &m) {
 			return
 		}
-		known := s.cfg.Board.Left(clock.Now())
+		known := s.cfg.Board.LeavingEndpoints(clock.Now())
 		answer := message{Checksum: leavingChecksum(known)}
 		if answer.Checksum != m.Checksum {
 			answer.Leaving = known
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -77,8 +77,8 @@
 	// RateLimits lists the endpoints that report a rate limit, as far as this box has received the reports.
 	RateLimits []ratelimit.Limit `json:"limits,omitempty"`
 	// LeavingEndpoints lists the endpoints that reported that they are leaving. PausedEndpoints lists those that requested a pause from this box.
-	LeavingEndpoints []notice.Left    `json:"left,omitempty"`
-	PausedEndpoints  []notice.Resting `json:"rests,omitempty"`
+	LeavingEndpoints []notice.LeavingEndpoint `json:"left,omitempty"`
+	PausedEndpoints  []notice.PausedEndpoint  `json:"rests,omitempty"`
 	// LastRestore describes the last restore of the store from an older copy; nil if this box has seen none.
 	LastRestore *follow.RestoreStatus `json:"restored,omitempty"`
 }
@@ -118,7 +118,7 @@
 	httpx.WriteJSON(w, http.StatusOK, Status{
 		Box: o.cfg.Box, Ready: o.cfg.Ready(), Revision: o.cfg.Catalog.Revision(), InFlight: o.cfg.InFlight(),
 		Member: o.cfg.Membership(), Engines: o.cfg.Engines(), SkippedObjects: o.cfg.Catalog.UnreadableObjects(),
-		RateLimits: o.cfg.Limits(clock.Now()), LeavingEndpoints: o.cfg.Notices.Left(clock.Now()), PausedEndpoints: o.cfg.Notices.Rests(clock.Now()), LastRestore: o.lastRestore(),
+		RateLimits: o.cfg.Limits(clock.Now()), LeavingEndpoints: o.cfg.Notices.LeavingEndpoints(clock.Now()), PausedEndpoints: o.cfg.Notices.PausedEndpoints(clock.Now()), LastRestore: o.lastRestore(),
 	})
 }
 
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -101,7 +101,7 @@
 	defer tick.Stop()
 	for {
 		rep, err := r.cfg.Client.Report(ctx, r.target())
-		r.cfg.Notices.Heard(clock.Now(), notice.Endpoint{Name: r.cfg.Name, Started: r.cfg.Engine.Started}, rep.Notice)
+		r.cfg.Notices.RecordNotices(clock.Now(), notice.Endpoint{Name: r.cfg.Name, Started: r.cfg.Engine.Started}, rep.Notice)
 		if err != nil {
 			r.cfg.Scope.Counter("report_failures").Inc(1)
 			if errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/owner/set.go
+++ b/internal/owner/set.go
@@ -190,7 +190,7 @@
 		PrefillRate: s.cfg.PrefillRate, Policy: s.cfg.Policy,
 		Authority:     func(now time.Time) (uint64, bool) { return s.cfg.Authority(name, now) },
 		Rate:          s.cfg.Rates.LatestReport(clock.Now(), name, settings.engine.Started),
-		EngineLeaving: s.cfg.Notices.Leaves(clock.Now(), notice.Endpoint{Name: name, Started: settings.engine.Started}),
+		EngineLeaving: s.cfg.Notices.IsLeaving(clock.Now(), notice.Endpoint{Name: name, Started: settings.engine.Started}),
 		Notices:       s.cfg.Notices,
 	}
 	r := NewRunner(cfg)
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -40,13 +40,13 @@
 	word := head.Notice
 	if isFromDestination(q, to, head) {
 		r.handleRate(to, word, valid)
-		r.cfg.Notices.Heard(clock.Now(), to.noticeEndpoint(), word)
+		r.cfg.Notices.RecordNotices(clock.Now(), to.noticeEndpoint(), word)
 		return
 	}
-	if word.Leaving || word.Rest > 0 || word.Rate.Limited {
+	if word.Leaving || word.RetryAfter > 0 || word.Rate.Limited {
 		r.cfg.Scope.Counter("notices_of_others").Inc(1)
 		klog.V(1).InfoS("ignored a notice that did not come from the endpoint itself", "endpoint", to.name, "asked_as", q.head.ID, "answered_as", head.ID, "instance", head.Instance,
-			"leaving", word.Leaving, "rest", word.Rest, "rate", word.Rate.Rate)
+			"leaving", word.Leaving, "rest", word.RetryAfter, "rate", word.Rate.Rate)
 	}
 }
 
@@ -55,11 +55,11 @@
 // it.
 func (r *Relay) checkNotices(to destination) *result.Error {
 	now := clock.Now()
-	if r.cfg.Notices.Leaves(now, to.noticeEndpoint()) {
+	if r.cfg.Notices.IsLeaving(now, to.noticeEndpoint()) {
 		r.cfg.Scope.Counter("kept_from_leaving").Inc(1)
 		return result.New(result.EndpointLeaving, "%s", to.name)
 	}
-	wait, ok := r.cfg.Notices.Enter(now, to.noticeEndpoint())
+	wait, ok := r.cfg.Notices.AllowRequest(now, to.noticeEndpoint())
 	if ok {
 		return nil
 	}
@@ -73,7 +73,7 @@
 // asked, so they continue to send. A request at this box is not passed on to them, because the load on the endpoint
 // would be the same.
 func (r *Relay) isResting(e catalog.EndpointView) bool {
-	return r.cfg.Notices.Any() && r.cfg.Notices.Rest(clock.Now(), notice.Endpoint{Name: e.Name, Started: e.Spec.Started}) > 0
+	return r.cfg.Notices.HasEntries() && r.cfg.Notices.RemainingPause(clock.Now(), notice.Endpoint{Name: e.Name, Started: e.Spec.Started}) > 0
 }
 
 // refuseIfNoneAvailable refuses a request if all endpoints that could take it are leaving or resting. It returns nil
@@ -91,7 +91,7 @@
 		if e.Spec.Leaving {
 			continue
 		}
-		rest := r.cfg.Notices.Rest(now, notice.Endpoint{Name: e.Name, Started: e.Spec.Started})
+		rest := r.cfg.Notices.RemainingPause(now, notice.Endpoint{Name: e.Name, Started: e.Spec.Started})
 		if rest == 0 {
 			return nil
 		}
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -45,10 +45,10 @@
 	rates := ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: func() int { return 1 }, Scope: tally.NoopScope})
 	board := notice.NewBoard(notice.BoardConfig{Scope: tally.NoopScope})
 	r := New(Config{Rates: rates, Notices: board, Scope: tally.NoopScope})
-	word := notice.Word{Rate: ratelimit.Report{Limited: true}, Leaving: true, Rest: time.Minute}
+	word := notice.HeaderNotices{Rate: ratelimit.Report{Limited: true}, Leaving: true, RetryAfter: time.Minute}
 	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r0", Notice: word}, false)
 	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r1", Elsewhere: true, Notice: word}, false)
 	c.Check(rates.Limits(clock.Now()), qt.HasLen, 0)
-	c.Check(board.Left(clock.Now()), qt.HasLen, 0)
-	c.Check(board.Rests(clock.Now()), qt.HasLen, 0)
+	c.Check(board.LeavingEndpoints(clock.Now()), qt.HasLen, 0)
+	c.Check(board.PausedEndpoints(clock.Now()), qt.HasLen, 0)
 }
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -11,7 +11,7 @@
 
 // handleRate records the rate limit that an endpoint reported. Only a valid answer can lift a limit, because other
 // answers may lack any header.
-func (r *Relay) handleRate(to destination, word notice.Word, valid bool) {
+func (r *Relay) handleRate(to destination, word notice.HeaderNotices, valid bool) {
 	if word.RateErr != nil {
 		r.cfg.Rates.RecordInvalid(clock.Now(), to.name, word.RateErr)
 		return
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -71,7 +71,7 @@
 	// Instance is the id of the endpoint that answered, empty if the answer does not contain it.
 	Instance string
 	// Notice is the notice that the endpoint sent about itself.
-	Notice notice.Word
+	Notice notice.HeaderNotices
 }
 
 // Wire reads and writes the headers of callers and endpoints. It is the interface at the network boundary.
