--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -173,7 +173,7 @@
 	if address == "" || address == b.listeners.advertised(b.cfg.Settings.Listen).String() {
 		return nil, nil
 	}
-	return peers.Lost(ctx, address)
+	return peers.LostObjects(ctx, address)
 }
 
 func (b *Box) buildOwners() {
@@ -265,7 +265,7 @@
 func (b *Box) serve(api objects.API, records *record.Log) {
 	peerMux := http.NewServeMux()
 	peer.NewHandler(peer.HandlerConfig{
-		Catalog: b.catalog, Beat: b.node.Receive, Batch: b.node.HandleBatch, Permits: b.scheduler, Schedules: b.schedules, NewID: rand.Text,
+		Catalog: b.catalog, Beat: b.node.Receive, Batch: b.node.HandleBatch, Permits: b.scheduler, IsScheduler: b.schedules, NewID: rand.Text,
 	}).Register(peerMux)
 	b.gateway.RegisterPeer(peerMux)
 	notice.NewServer(notice.ServerConfig{Board: b.notices}).Register(peerMux)
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -259,7 +259,7 @@
 	peerMux := http.NewServeMux()
 	peer.NewHandler(peer.HandlerConfig{
 		Catalog: b.catalog, Beat: b.node.Receive, Batch: b.node.HandleBatch, Permits: scheduler, NewID: rand.Text,
-		Schedules: func() bool { return b.scheduler().Box == b.cfg.Settings.Box.Name },
+		IsScheduler: func() bool { return b.scheduler().Box == b.cfg.Settings.Box.Name },
 	}).Register(peerMux)
 	grant.NewServer(grant.ServerConfig{Owners: b.owners, Rates: b.rates}).Register(peerMux)
 	notice.NewServer(notice.ServerConfig{Board: b.notices}).Register(peerMux)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -66,8 +66,8 @@
 	return r, err
 }
 
-// Lost returns the objects that the box at address holds and that the platform has lost.
-func (c *Client) Lost(ctx context.Context, address string) ([]objects.Object, error) {
+// LostObjects returns the objects that the box at address holds and that the platform has lost.
+func (c *Client) LostObjects(ctx context.Context, address string) ([]objects.Object, error) {
 	var lost []objects.Object
 	err := c.call(ctx, address, PathLostObjects, callTimeout, struct{}{}, &lost)
 	return lost, err
--- a/internal/peer/handler.go
+++ b/internal/peer/handler.go
@@ -37,8 +37,8 @@
 	Batch func(coordinator.Batch) (coordinator.BatchReply, error)
 	// Permits schedules the loads of the site while this box is the scheduler.
 	Permits *loads.Local
-	// Schedules reports whether this box is the scheduler of its site.
-	Schedules func() bool
+	// IsScheduler reports whether this box is the scheduler of its site.
+	IsScheduler func() bool
 	// NewID returns a unique ID for a permit.
 	NewID func() string
 }
--- a/internal/peer/permit.go
+++ b/internal/peer/permit.go
@@ -16,7 +16,7 @@
 	if !result.ReadJSON(w, r, maxBeatBytes, &req) {
 		return
 	}
-	if !h.cfg.Schedules() {
+	if !h.cfg.IsScheduler() {
 		result.New(result.StaleBeat, "this box does not schedule loads").Write(w, "")
 		return
 	}
