--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -188,16 +188,16 @@
 
 // buildLoads shares the weight store's budget: one box of the region schedules, cut-off boxes use a fixed share.
 func (b *Box) buildLoads(peers *peer.Client) {
-	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, AtOnce: b.cfg.Settings.Loads.AtOnce}
+	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, MaxConcurrent: b.cfg.Settings.Loads.AtOnce}
 	b.scheduler = loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget { return budget }})
 	fallback := loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget {
 		boxes := max(1, len(b.catalog.Topology().Boxes))
-		return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / float64(boxes), AtOnce: 1}
+		return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / float64(boxes), MaxConcurrent: 1}
 	}})
 	b.root.Add(b.scheduler)
 	b.root.Add(fallback)
 	b.loads = loads.NewShared(loads.SharedConfig{
-		Own: b.scheduler, Fallback: fallback, Remote: peers, Scope: b.metrics.Scope,
+		OwnScheduler: b.scheduler, Fallback: fallback, Remote: peers, Scope: b.metrics.Scope,
 		Scheduler: func() (string, bool) {
 			m, ok := b.catalog.Topology().Schedulers[b.cfg.Settings.Box.Region]
 			if !ok {
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -168,18 +168,18 @@
 	scheduler := loads.NewLocal(loads.LocalConfig{Budget: b.loadBudget})
 	fallback := loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget {
 		budget := b.loadBudget()
-		return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / float64(b.boxes()), AtOnce: 1}
+		return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / float64(b.boxes()), MaxConcurrent: 1}
 	}})
 	b.root.Add(scheduler)
 	b.root.Add(fallback)
 	budgeted := loads.NewShared(loads.SharedConfig{
-		Own: scheduler, Fallback: fallback, Remote: peers, Scope: b.metrics.Scope,
+		OwnScheduler: scheduler, Fallback: fallback, Remote: peers, Scope: b.metrics.Scope,
 		Scheduler: func() (string, bool) {
 			m := b.scheduler()
 			return m.Peer.String(), m.Box == b.cfg.Settings.Box.Name
 		},
 	})
-	var adapters loads.Source = loads.Free{}
+	var adapters loads.Source = loads.Unlimited{}
 	if b.cfg.Settings.Loads.Limit == settings.LimitAdapters {
 		adapters = budgeted
 	}
@@ -195,7 +195,7 @@
 
 // loadBudget returns what the routing configuration allows, else what the settings say.
 func (b *Routed) loadBudget() loads.Budget {
-	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, AtOnce: b.cfg.Settings.Loads.AtOnce}
+	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, MaxConcurrent: b.cfg.Settings.Loads.AtOnce}
 	t := b.catalog.Topology().Routes
 	if t == nil {
 		return budget
--- a/internal/loads/free.go
+++ b/internal/loads/free.go
@@ -2,10 +2,10 @@
 
 import "context"
 
-// Free is a Source that grants every permit immediately. It is for loads that the weight store does not limit.
-type Free struct{}
+// Unlimited is a Source that grants every permit immediately. It is for loads that the weight store does not limit.
+type Unlimited struct{}
 
-var _ Source = Free{}
+var _ Source = Unlimited{}
 
 // Acquire implements Source.
-func (Free) Acquire(context.Context, Need) (Permit, error) { return func(bool) {}, nil }
+func (Unlimited) Acquire(context.Context, Request) (Permit, error) { return func(bool) {}, nil }
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Need is a request for a load permit.
-type Need struct {
+// Request is a request for a load permit.
+type Request struct {
 	// Engine is the name of the engine that will load.
 	Engine string `json:"engine"`
 	// Urgency orders the queue: needs with a higher value are granted first.
@@ -25,13 +25,13 @@
 // Source grants permits. It is an interface because permits come from this box or from another box.
 type Source interface {
 	// Acquire waits for a permit until ctx ends.
-	Acquire(ctx context.Context, n Need) (Permit, error)
+	Acquire(ctx context.Context, n Request) (Permit, error)
 }
 
 // Budget holds the limits of the weight store.
 type Budget struct {
 	// PerSecond is the maximum rate of loads.
 	PerSecond float64 `json:"per_second"`
-	// AtOnce is the maximum number of concurrent loads. The store serves that many at full speed.
-	AtOnce int `json:"at_once"`
+	// MaxConcurrent is the maximum number of concurrent loads. The store serves that many at full speed.
+	MaxConcurrent int `json:"at_once"`
 }
--- a/internal/loads/local.go
+++ b/internal/loads/local.go
@@ -65,7 +65,7 @@
 	for {
 		w, ok := l.queue.Next(now)
 		if !ok {
-			return l.queue.Wait(now)
+			return l.queue.TimeToNext(now)
 		}
 		close(l.grantSignals[w.ID])
 		delete(l.grantSignals, w.ID)
@@ -73,13 +73,13 @@
 }
 
 // Acquire implements Source.
-func (l *Local) Acquire(ctx context.Context, n Need) (Permit, error) {
+func (l *Local) Acquire(ctx context.Context, n Request) (Permit, error) {
 	granted := make(chan struct{})
 	l.mu.Lock()
 	l.nextID++
 	id := l.nextID
 	l.grantSignals[id] = granted
-	l.queue.Add(Waiting{ID: id, Need: n, Since: clock.Now()})
+	l.queue.Add(QueuedRequest{ID: id, Request: n, Since: clock.Now()})
 	l.mu.Unlock()
 	l.notifyServe()
 	select {
--- a/internal/loads/queue.go
+++ b/internal/loads/queue.go
@@ -10,11 +10,11 @@
 // in any case.
 const maxBurstSeconds = 1.0
 
-// Waiting is a queued need.
-type Waiting struct {
-	ID    uint64
-	Need  Need
-	Since time.Time
+// QueuedRequest is a queued need.
+type QueuedRequest struct {
+	ID      uint64
+	Request Request
+	Since   time.Time
 }
 
 // Queue decides which need gets the next permit. It limits the rate with a token bucket. It does no I/O and is not safe for
@@ -24,7 +24,7 @@
 	tokens       float64
 	lastRefill   time.Time
 	runningLoads int
-	waiting      []Waiting
+	waiting      []QueuedRequest
 }
 
 // NewQueue returns a Queue that allows one load immediately. It calls b for the current budget at each decision.
@@ -33,22 +33,22 @@
 }
 
 // Add inserts a need into the queue. The order is: higher urgency first, then earlier StartBy, then more waiters.
-func (q *Queue) Add(w Waiting) {
+func (q *Queue) Add(w QueuedRequest) {
 	index, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
 	q.waiting = slices.Insert(q.waiting, index, w)
 }
 
-func compareWaiting(a, b Waiting) int {
+func compareWaiting(a, b QueuedRequest) int {
 	return cmp.Or(
-		cmp.Compare(b.Need.Urgency, a.Need.Urgency), a.Need.StartBy.Compare(b.Need.StartBy),
-		cmp.Compare(b.Need.Waiters, a.Need.Waiters), cmp.Compare(a.ID, b.ID),
+		cmp.Compare(b.Request.Urgency, a.Request.Urgency), a.Request.StartBy.Compare(b.Request.StartBy),
+		cmp.Compare(b.Request.Waiters, a.Request.Waiters), cmp.Compare(a.ID, b.ID),
 	)
 }
 
 // Remove removes a need from the queue and reports whether it was still waiting.
 func (q *Queue) Remove(id uint64) bool {
 	lengthBefore := len(q.waiting)
-	q.waiting = slices.DeleteFunc(q.waiting, func(w Waiting) bool { return w.ID == id })
+	q.waiting = slices.DeleteFunc(q.waiting, func(w QueuedRequest) bool { return w.ID == id })
 	return len(q.waiting) < lengthBefore
 }
 
@@ -62,10 +62,10 @@
 }
 
 // Next grants a permit to the first need in the queue and returns that need. It returns false if no permit can be granted now.
-func (q *Queue) Next(now time.Time) (Waiting, bool) {
+func (q *Queue) Next(now time.Time) (QueuedRequest, bool) {
 	q.refill(now)
-	if len(q.waiting) == 0 || q.runningLoads >= q.budget().AtOnce || q.tokens < 1 {
-		return Waiting{}, false
+	if len(q.waiting) == 0 || q.runningLoads >= q.budget().MaxConcurrent || q.tokens < 1 {
+		return QueuedRequest{}, false
 	}
 	w := q.waiting[0]
 	q.waiting = slices.Delete(q.waiting, 0, 1)
@@ -74,10 +74,10 @@
 	return w, true
 }
 
-// Wait returns the time until Next can grant a permit without a Release; zero or less means now. It returns false if no need
+// TimeToNext returns the time until Next can grant a permit without a Release; zero or less means now. It returns false if no need
 // waits or if only a Release can free a permit.
-func (q *Queue) Wait(now time.Time) (time.Duration, bool) {
-	if len(q.waiting) == 0 || q.runningLoads >= q.budget().AtOnce {
+func (q *Queue) TimeToNext(now time.Time) (time.Duration, bool) {
+	if len(q.waiting) == 0 || q.runningLoads >= q.budget().MaxConcurrent {
 		return 0, false
 	}
 	q.refill(now)
--- a/internal/loads/shared.go
+++ b/internal/loads/shared.go
@@ -19,15 +19,15 @@
 // Remote requests permits from the scheduler on another box. It is an interface at the network boundary.
 type Remote interface {
 	// AcquirePermit waits until the box at address grants a permit or ctx ends.
-	AcquirePermit(ctx context.Context, address string, n Need) (Permit, error)
+	AcquirePermit(ctx context.Context, address string, n Request) (Permit, error)
 }
 
 // SharedConfig configures a Shared.
 type SharedConfig struct {
 	// Scheduler returns the peer address of the box that schedules this site's loads, and whether that is this box.
 	Scheduler func() (address string, self bool)
-	// Own is the scheduler of this box. The whole site uses it while this box is the scheduler.
-	Own *Local
+	// OwnScheduler is the scheduler of this box. The whole site uses it while this box is the scheduler.
+	OwnScheduler *Local
 	// Fallback grants permits from this box's fixed share of the budget while the scheduler is unreachable.
 	Fallback *Local
 	Remote   Remote
@@ -46,10 +46,10 @@
 func NewShared(cfg SharedConfig) *Shared { return &Shared{cfg: cfg} }
 
 // Acquire implements Source.
-func (s *Shared) Acquire(ctx context.Context, n Need) (Permit, error) {
+func (s *Shared) Acquire(ctx context.Context, n Request) (Permit, error) {
 	address, self := s.cfg.Scheduler()
 	if self {
-		return s.cfg.Own.Acquire(ctx, n)
+		return s.cfg.OwnScheduler.Acquire(ctx, n)
 	}
 	if address != "" {
 		permit, err := s.cfg.Remote.AcquirePermit(ctx, address, n)
--- a/internal/loads/shared_test.go
+++ b/internal/loads/shared_test.go
@@ -25,7 +25,7 @@
 }
 
 // AcquirePermit implements loads.Remote.
-func (s *testSite) AcquirePermit(ctx context.Context, _ string, n loads.Need) (loads.Permit, error) {
+func (s *testSite) AcquirePermit(ctx context.Context, _ string, n loads.Request) (loads.Permit, error) {
 	if s.unreachable.Load() {
 		return nil, errors.New("scheduler is unreachable")
 	}
@@ -35,7 +35,7 @@
 // runBox simulates a box that loads one adapter after the other. Each load takes loadTime.
 func (s *testSite) runBox(ctx context.Context, src loads.Source, loadTime time.Duration) error {
 	for {
-		permit, err := src.Acquire(ctx, loads.Need{StartBy: time.Now().Add(time.Minute)})
+		permit, err := src.Acquire(ctx, loads.Request{StartBy: time.Now().Add(time.Minute)})
 		if err != nil {
 			return err
 		}
@@ -48,7 +48,7 @@
 }
 
 func TestSiteStaysWithinTheBudget(t *testing.T) {
-	budget := loads.Budget{PerSecond: 3, AtOnce: 2}
+	budget := loads.Budget{PerSecond: 3, MaxConcurrent: 2}
 	const boxes = 7
 	for _, tt := range []struct {
 		name string
@@ -69,11 +69,11 @@
 			group.Go(func() error { return s.scheduler.Serve(ctx) })
 			for i := range boxes {
 				fallback := loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget {
-					return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / boxes, AtOnce: 1}
+					return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / boxes, MaxConcurrent: 1}
 				}})
 				group.Go(func() error { return fallback.Serve(ctx) })
 				shared := loads.NewShared(loads.SharedConfig{
-					Own: s.scheduler, Fallback: fallback, Remote: s, Scope: tally.NoopScope,
+					OwnScheduler: s.scheduler, Fallback: fallback, Remote: s, Scope: tally.NoopScope,
 					Scheduler: func() (string, bool) { return "box-0", i == 0 },
 				})
 				group.Go(func() error { return s.runBox(ctx, shared, 600*time.Millisecond) })
@@ -91,12 +91,12 @@
 func TestQueueOrder(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
-	q := loads.NewQueue(now, func() loads.Budget { return loads.Budget{PerSecond: 1000, AtOnce: 10} })
-	for _, w := range []loads.Waiting{
-		{ID: 1, Need: loads.Need{Urgency: 0, StartBy: now.Add(time.Second)}},
-		{ID: 2, Need: loads.Need{Urgency: 50, StartBy: now.Add(9 * time.Second)}},
-		{ID: 3, Need: loads.Need{Urgency: 50, StartBy: now.Add(8 * time.Second), Waiters: 1}},
-		{ID: 4, Need: loads.Need{Urgency: 50, StartBy: now.Add(8 * time.Second), Waiters: 5}},
+	q := loads.NewQueue(now, func() loads.Budget { return loads.Budget{PerSecond: 1000, MaxConcurrent: 10} })
+	for _, w := range []loads.QueuedRequest{
+		{ID: 1, Request: loads.Request{Urgency: 0, StartBy: now.Add(time.Second)}},
+		{ID: 2, Request: loads.Request{Urgency: 50, StartBy: now.Add(9 * time.Second)}},
+		{ID: 3, Request: loads.Request{Urgency: 50, StartBy: now.Add(8 * time.Second), Waiters: 1}},
+		{ID: 4, Request: loads.Request{Urgency: 50, StartBy: now.Add(8 * time.Second), Waiters: 5}},
 	} {
 		q.Add(w)
 	}
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -22,7 +22,7 @@
 func (r *Runner) requestPermit(ctx context.Context, a AskPermit) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(a.StartBy))
 	defer cancel()
-	p, err := r.cfg.Loads.Acquire(ctx, loads.Need{Engine: r.cfg.Name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters})
+	p, err := r.cfg.Loads.Acquire(ctx, loads.Request{Engine: r.cfg.Name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters})
 	if err != nil {
 		r.post(permitDenied{a.Ref})
 		return
@@ -45,7 +45,7 @@
 
 // loadBase orders the engine to load its missing base model, after a permit from the weight store's budget.
 func (r *Runner) loadBase(ctx context.Context) {
-	permit, err := r.cfg.BaseLoads.Acquire(ctx, loads.Need{Engine: r.cfg.Name, Urgency: resource.MaxUrgency, StartBy: clock.Now()})
+	permit, err := r.cfg.BaseLoads.Acquire(ctx, loads.Request{Engine: r.cfg.Name, Urgency: resource.MaxUrgency, StartBy: clock.Now()})
 	if err == nil {
 		err = r.sendOrder(ctx, engine.Order{Action: engine.ActionLoadBase, Model: r.cfg.Engine.BaseModel})
 		permit(true)
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -75,7 +75,7 @@
 
 // PermitRequest requests a load permit from the scheduler.
 type PermitRequest struct {
-	Need loads.Need `json:"need"`
+	Need loads.Request `json:"need"`
 	// Wait is the maximum time that the caller waits for the permit.
 	Wait time.Duration `json:"wait"`
 }
@@ -95,7 +95,7 @@
 var _ loads.Remote = (*Client)(nil)
 
 // AcquirePermit implements loads.Remote.
-func (c *Client) AcquirePermit(ctx context.Context, address string, n loads.Need) (loads.Permit, error) {
+func (c *Client) AcquirePermit(ctx context.Context, address string, n loads.Request) (loads.Permit, error) {
 	wait := maxClientWait
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = min(wait, clock.Until(deadline))
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -267,7 +267,7 @@
 	}
 	r.nextID++
 	r.asking[r.nextID] = asker{w, a.Ref}
-	r.permits.Add(loads.Waiting{ID: r.nextID, Need: loads.Need{Engine: w.name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters}, Since: r.now})
+	r.permits.Add(loads.QueuedRequest{ID: r.nextID, Request: loads.Request{Engine: w.name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters}, Since: r.now})
 	r.grant()
 }
 
@@ -282,7 +282,7 @@
 		delete(r.asking, n.ID)
 		r.at(r.now, func() { r.carryOut(who.worker, who.worker.state.Granted(r.now, who.ref)) })
 	}
-	d, ok := r.permits.Wait(r.now)
+	d, ok := r.permits.TimeToNext(r.now)
 	if !ok || d <= 0 || (r.nextGrant.After(r.now) && !r.nextGrant.After(r.now.Add(d))) {
 		return
 	}
--- a/internal/policybench/scenario.go
+++ b/internal/policybench/scenario.go
@@ -57,7 +57,7 @@
 func Downs(turn Turn) Scenario {
 	return Scenario{
 		Name: "Downs, " + string(turn), Engines: 15, Models: 2, Slots: 8, Batch: 16, Step: 40 * time.Millisecond, Tokens: 120,
-		Adapters: 5000, Skew: 1, Rate: 5, Night: 0.3, Budget: loads.Budget{PerSecond: 3, AtOnce: 2}, LoadTime: 600 * time.Millisecond,
+		Adapters: 5000, Skew: 1, Rate: 5, Night: 0.3, Budget: loads.Budget{PerSecond: 3, MaxConcurrent: 2}, LoadTime: 600 * time.Millisecond,
 		Wait: 10 * time.Second, NightWait: 10 * time.Minute, Length: time.Hour, Turn: turn,
 	}
 }
@@ -66,7 +66,7 @@
 func Lima(turn Turn) Scenario {
 	s := Downs(turn)
 	s.Name, s.Engines, s.Rate, s.Night, s.Skew = "Lima, "+string(turn), 16, 12, 0.5, 1.2
-	s.Budget.AtOnce, s.Pack = 10, true
+	s.Budget.MaxConcurrent, s.Pack = 10, true
 	return s
 }
 
