--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -272,9 +272,9 @@
 	quarantine.NewServer(quarantine.ServerConfig{Client: b.quarantine}).Register(peerMux)
 	places.NewServer(places.ServerConfig{Keeper: b.keeper, Rates: b.rates}).Register(peerMux)
 	op := operator.New(operator.Config{
-		Box: b.cfg.Settings.Box.Name, API: api, Catalog: b.catalog, Metrics: b.metrics.Handler, Ready: b.feed.IsReady,
+		Box: b.cfg.Settings.Box.Name, API: api, Catalog: b.catalog, Metrics: b.metrics.Handler, IsReady: b.feed.IsReady,
 		Membership: b.node.Status, Engines: b.owners.Status, InFlight: b.InFlight, Scope: b.metrics.Scope,
-		Record: records, Quarantine: b.quarantine, Limits: b.rates.Limits, Notices: b.notices,
+		RecentRequests: records, Quarantine: b.quarantine, RateLimits: b.rates.Limits, Notices: b.notices,
 	})
 	b.root.Add(server{b.listeners.caller, b.gateway.Handler()})
 	b.root.Add(server{b.listeners.peer, peerMux})
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -267,9 +267,9 @@
 	places.NewServer(places.ServerConfig{Keeper: b.keeper, Rates: b.rates}).Register(peerMux)
 	quota.NewServer(quota.ServerConfig{Ledger: b.ledger, Accountable: b.accountable, Customer: b.customer}).Register(peerMux)
 	op := operator.New(operator.Config{
-		Box: b.cfg.Settings.Box.Name, API: b.cfg.Deployment.API, Catalog: b.catalog, Metrics: b.metrics.Handler, Ready: b.Ready,
-		Membership: b.node.Status, Engines: b.owners.Status, InFlight: b.InFlight, Scope: b.metrics.Scope, Record: record.New(),
-		Quarantine: b.quarantine, Limits: b.rates.Limits, Notices: b.notices, Restored: b.follower.LastRestore,
+		Box: b.cfg.Settings.Box.Name, API: b.cfg.Deployment.API, Catalog: b.catalog, Metrics: b.metrics.Handler, IsReady: b.Ready,
+		Membership: b.node.Status, Engines: b.owners.Status, InFlight: b.InFlight, Scope: b.metrics.Scope, RecentRequests: record.New(),
+		Quarantine: b.quarantine, RateLimits: b.rates.Limits, Notices: b.notices, LastRestore: b.follower.LastRestore,
 	})
 	b.root.Add(server{b.listeners.caller, b.relay})
 	b.root.Add(server{b.listeners.peer, peerMux})
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -31,7 +31,7 @@
 // handleExplain serves GET /explain?of=SUBJECT. The subject is a request ID or an adapter version as ADAPTER@VERSION.
 func (o *Operator) handleExplain(w http.ResponseWriter, r *http.Request) {
 	subject := r.FormValue("of")
-	e := Explanation{Candidates: o.listCandidates(subject), Requests: o.cfg.Record.Find(subject, maxExplainedRequests)}
+	e := Explanation{Candidates: o.listCandidates(subject), Requests: o.cfg.RecentRequests.Find(subject, maxExplainedRequests)}
 	if len(e.Candidates)+len(e.Requests) == 0 {
 		o.writeError(w, result.New(result.NoSuchResource, "no recent request or adapter version %q on this box", subject))
 		return
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -29,23 +29,23 @@
 	API     objects.API
 	Catalog *catalog.Catalog
 	Metrics http.Handler
-	// Ready reports whether this box is ready to serve callers.
-	Ready func() bool
+	// IsReady reports whether this box is ready to serve callers.
+	IsReady func() bool
 	// Membership, Engines and InFlight return values for the status response.
 	Membership func() member.Status
 	Engines    func() []owner.Status
 	InFlight   func() int
-	// Record holds the recent requests, which GET /explain returns.
-	Record *record.Log
+	// RecentRequests holds the recent requests, which GET /explain returns.
+	RecentRequests *record.Log
 	// Quarantine holds the requests that endpoints crashed while running.
 	Quarantine Quarantine
-	// Limits returns the rate limits that endpoints have reported, in requests per second.
-	Limits func(now time.Time) []ratelimit.Limit
+	// RateLimits returns the rate limits that endpoints have reported, in requests per second.
+	RateLimits func(now time.Time) []ratelimit.Limit
 	// Notices holds the other reports of endpoints: that they are leaving, or that they need a pause.
 	Notices *notice.Board
-	// Restored returns details of the store's last restore from an older copy. It is nil on boxes that do not use package follow.
-	Restored func() follow.RestoreStatus
-	Scope    tally.Scope
+	// LastRestore returns details of the store's last restore from an older copy. It is nil on boxes that do not use package follow.
+	LastRestore func() follow.RestoreStatus
+	Scope       tally.Scope
 }
 
 // Quarantine lists the requests that endpoints crashed while running and allows an operator to release them.
@@ -107,7 +107,7 @@
 }
 
 func (o *Operator) handleReady(w http.ResponseWriter, _ *http.Request) {
-	if !o.cfg.Ready() {
+	if !o.cfg.IsReady() {
 		result.New(result.NotReady, "%s", o.cfg.Box).Write(w, "")
 		return
 	}
@@ -116,17 +116,17 @@
 
 func (o *Operator) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	httpx.WriteJSON(w, http.StatusOK, Status{
-		Box: o.cfg.Box, Ready: o.cfg.Ready(), Revision: o.cfg.Catalog.Revision(), InFlight: o.cfg.InFlight(),
+		Box: o.cfg.Box, Ready: o.cfg.IsReady(), Revision: o.cfg.Catalog.Revision(), InFlight: o.cfg.InFlight(),
 		Member: o.cfg.Membership(), Engines: o.cfg.Engines(), SkippedObjects: o.cfg.Catalog.UnreadableObjects(),
-		RateLimits: o.cfg.Limits(clock.Now()), LeavingEndpoints: o.cfg.Notices.LeavingEndpoints(clock.Now()), PausedEndpoints: o.cfg.Notices.PausedEndpoints(clock.Now()), LastRestore: o.lastRestore(),
+		RateLimits: o.cfg.RateLimits(clock.Now()), LeavingEndpoints: o.cfg.Notices.LeavingEndpoints(clock.Now()), PausedEndpoints: o.cfg.Notices.PausedEndpoints(clock.Now()), LastRestore: o.lastRestore(),
 	})
 }
 
 func (o *Operator) lastRestore() *follow.RestoreStatus {
-	if o.cfg.Restored == nil {
+	if o.cfg.LastRestore == nil {
 		return nil
 	}
-	if r := o.cfg.Restored(); r.Era > 0 {
+	if r := o.cfg.LastRestore(); r.Era > 0 {
 		return &r
 	}
 	return nil
