--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -80,7 +80,7 @@
 		outgoing.Header.Set("User-Agent", "")
 	}
 	a.Instance, a.Deadline, a.Priority = to.name, q.timeLeft(), q.rank()
-	a.Keyed, a.Customer = r.cfg.Catalog.Topology().Routes.Keyed(), q.customerName()
+	a.Keyed, a.Customer = r.cfg.Catalog.Topology().Routes.RequiresKey(), q.customerName()
 	r.cfg.Wire.WriteAttempt(outgoing.Header, a)
 	outgoing.Body, outgoing.ContentLength = singleUseBody{bytes.NewReader(q.body)}, int64(len(q.body))
 	q.arrivals++
--- a/internal/relay/identify.go
+++ b/internal/relay/identify.go
@@ -52,7 +52,7 @@
 // identifyCustomer finds the customer of a request. It refuses the request if its key is unknown or may have been
 // revoked.
 func (r *Relay) identifyCustomer(q *request, table *route.Table) *result.Error {
-	if !table.Keyed() || q.route.Open {
+	if !table.RequiresKey() || q.route.Open {
 		return nil
 	}
 	if q.head.Key != "" {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -231,7 +231,7 @@
 	if !ok {
 		return q, r.refuseUnknown(q, result.New(result.NoRoute, "%s%s", req.Host, req.URL.Path))
 	}
-	q.route, q.service = rt, route.Pick(rt, head.ID)
+	q.route, q.service = rt, route.PickService(rt, head.ID)
 	timeout := time.Duration(rt.Timeout)
 	if head.Deadline > 0 {
 		timeout = min(timeout, head.Deadline)
@@ -240,7 +240,7 @@
 	if rerr := r.identifyCustomer(q, table); rerr != nil {
 		return q, rerr
 	}
-	content, rerr := body.Read(w, req, bodyLimits(table.Limits(), q))
+	content, rerr := body.Read(w, req, bodyLimits(table.CallerLimits(), q))
 	q.body = content
 	q.suspect = suspectOf(q)
 	return q, rerr
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -48,11 +48,11 @@
 // Version returns the version number that the operator gave the configuration.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns the limits for the requests and connections of callers.
-func (t *Table) Limits() resource.CallerLimits { return t.limits }
+// CallerLimits returns the limits for the requests and connections of callers.
+func (t *Table) CallerLimits() resource.CallerLimits { return t.limits }
 
-// Keyed reports whether requests must carry the API key of a customer. Open routes need no key.
-func (t *Table) Keyed() bool { return t.keyed }
+// RequiresKey reports whether requests must carry the API key of a customer. Open routes need no key.
+func (t *Table) RequiresKey() bool { return t.keyed }
 
 // Customers returns the customers of the configuration.
 func (t *Table) Customers() *customer.Table { return t.customers }
@@ -84,9 +84,9 @@
 	return strings.ToLower(host)
 }
 
-// Pick returns the target service for a request ID. The choice is deterministic: the same ID always gets the same service. Over many
+// PickService returns the target service for a request ID. The choice is deterministic: the same ID always gets the same service. Over many
 // IDs, each service gets a share in proportion to its weight.
-func Pick(r *resource.Route, id string) string {
+func PickService(r *resource.Route, id string) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += t.Weight
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -46,9 +46,9 @@
 	r := &resource.Route{Targets: []resource.Target{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	counts := map[string]int{}
 	for i := range 10000 {
-		counts[route.Pick(r, fmt.Sprint("request-", i))]++
+		counts[route.PickService(r, fmt.Sprint("request-", i))]++
 	}
 	c.Check(counts["a"] > 8800 && counts["a"] < 9200, qt.IsTrue, qt.Commentf("%v", counts))
 	c.Check(counts["c"], qt.Equals, 0)
-	c.Check(route.Pick(r, "x"), qt.Equals, route.Pick(r, "x"))
+	c.Check(route.PickService(r, "x"), qt.Equals, route.PickService(r, "x"))
 }
