--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -93,6 +93,6 @@
 		Register: quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: s.Quarantine.Endpoints, Hold: s.Quarantine.Hold}),
 		Fleet:    newFleet(fleetConfig{Catalog: c, Box: s.Box.Name, Cell: s.Box.Cell}),
 		Scope:    scope,
-		Off:      !s.Policy.Chosen().On(policy.Quarantine),
+		Off:      !s.Policy.Chosen().IsEnabled(policy.Quarantine),
 	})
 }
--- a/internal/owner/evict.go
+++ b/internal/owner/evict.go
@@ -38,7 +38,7 @@
 	if s.cfg.Worth != nil {
 		return s.cfg.Worth(ref, now)
 	}
-	if !s.cfg.Policy.On(policy.UseRate) {
+	if !s.cfg.Policy.IsEnabled(policy.UseRate) {
 		return -float64(now.Sub(s.useRates[ref].updatedAt))
 	}
 	return s.currentUseRate(now, ref)
--- a/internal/owner/prefill.go
+++ b/internal/owner/prefill.go
@@ -58,7 +58,7 @@
 
 // uncachedTokens returns the number of prompt tokens that the engine has to process for a ticket.
 func (r *prefillTracker) uncachedTokens(t Ticket) int {
-	if !r.policy.On(policy.Prefixes) {
+	if !r.policy.IsEnabled(policy.PrefixReuse) {
 		return t.Prompt
 	}
 	return max(0, t.Prompt-r.cache.cachedTokens(t.Ref, t.Parts))
@@ -81,7 +81,7 @@
 		return
 	}
 	r.headStarted = now
-	if total := u.tokensAhead + u.tokens; total >= minSampleTokens && r.policy.On(policy.ReadRate) {
+	if total := u.tokensAhead + u.tokens; total >= minSampleTokens && r.policy.IsEnabled(policy.ReadRate) {
 		r.observe(now.Sub(u.sentAt) / time.Duration(total))
 	}
 }
--- a/internal/owner/wait.go
+++ b/internal/owner/wait.go
@@ -75,7 +75,7 @@
 // become free one after another at even intervals, all of them within the mean run time. Missing adapters of tickets ahead get
 // slots first.
 func (s *State) slotWait(now time.Time, t Ticket) time.Duration {
-	if !s.cfg.Policy.On(policy.SlotWait) {
+	if !s.cfg.Policy.IsEnabled(policy.SlotWait) {
 		return 0
 	}
 	free, inUse := s.cfg.Slots-len(s.slots), 0
@@ -104,7 +104,7 @@
 // expectedLoadTime returns the mean observed load time, which decays towards defaultLoadTime. Without the decay, an engine with a
 // few slow loads would get no more loads, and its estimate could never improve.
 func (s *State) expectedLoadTime(now time.Time) time.Duration {
-	if !s.cfg.Policy.On(policy.LoadTime) {
+	if !s.cfg.Policy.IsEnabled(policy.LoadTime) {
 		return defaultLoadTime
 	}
 	decay := math.Exp2(-float64(now.Sub(s.lastLoadAt)) / float64(loadTimeHalfLife))
@@ -129,7 +129,7 @@
 
 // wasRecentlyUnloaded reports whether the engine unloaded the adapter recently, so that it can load the adapter quickly.
 func (s *State) wasRecentlyUnloaded(ref resource.Ref) bool {
-	return s.cfg.Policy.On(policy.AtHand) && s.recentlyUnloaded.contains(ref)
+	return s.cfg.Policy.IsEnabled(policy.FastReload) && s.recentlyUnloaded.contains(ref)
 }
 
 // isLocal reports whether a ticket for ref needs no further load from the weight store. This is so if the adapter is loaded, is
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -13,38 +13,38 @@
 
 // These are the mechanisms, each with its effect while it is on.
 const (
-	// Copies loads another copy of an adapter only if it can serve the request in time and none of the engines that have the adapter
+	// CopyLimit loads another copy of an adapter only if it can serve the request in time and none of the engines that have the adapter
 	// loaded, are loading it or had it loaded recently can do so.
-	Copies Mechanism = "copies"
-	// Crowds asks more engines for a grant while all engines that have the adapter loaded, are loading it or had it loaded recently are
+	CopyLimit Mechanism = "copies"
+	// CrowdDetection asks more engines for a grant while all engines that have the adapter loaded, are loading it or had it loaded recently are
 	// busy. Engines that have it loaded are asked first.
-	Crowds Mechanism = "crowds"
-	// Order adds a cost for each position of an engine in the order of preference, so that earlier engines are chosen.
-	Order Mechanism = "order"
+	CrowdDetection Mechanism = "crowds"
+	// PreferenceOrder adds a cost for each position of an engine in the order of preference, so that earlier engines are chosen.
+	PreferenceOrder Mechanism = "order"
 	// Admission refuses a request at once if it is not expected to start in time.
 	Admission Mechanism = "admission"
-	// Prefixes expects an engine to skip the parts of a prompt that it has already processed for earlier requests.
-	Prefixes Mechanism = "prefixes"
+	// PrefixReuse expects an engine to skip the parts of a prompt that it has already processed for earlier requests.
+	PrefixReuse Mechanism = "prefixes"
 	// ReadRate measures the rate at which an engine processes prompts, instead of using a constant.
 	ReadRate Mechanism = "read_rate"
 	// LoadTime measures how long an engine takes to load adapters, instead of using a constant.
 	LoadTime Mechanism = "load_time"
 	// SlotWait includes the wait for a free adapter slot in the expected waiting time.
 	SlotWait Mechanism = "slot_wait"
-	// AtHand expects an engine to load an adapter faster if it had it loaded recently.
-	AtHand Mechanism = "at_hand"
+	// FastReload expects an engine to load an adapter faster if it had it loaded recently.
+	FastReload Mechanism = "at_hand"
 	// UseRate unloads the adapter with the lowest time-decayed use rate. Without it, the least recently used adapter is unloaded.
 	UseRate Mechanism = "use_rate"
-	// Health tries endpoints with recent failures last.
-	Health Mechanism = "health"
-	// NearZone prefers engines in the zone of the box where the order is otherwise arbitrary.
-	NearZone Mechanism = "near_zone"
-	// Ownerless sends a request without a grant to an engine that has the adapter loaded, if no owner can be reached.
-	Ownerless Mechanism = "ownerless"
-	// Stalls aborts a response stream that has stopped sending data, so that the request can continue on another engine.
-	Stalls Mechanism = "stalls"
-	// Places limits the concurrent requests of all boxes at each endpoint of a plain service. One box counts them for each endpoint.
-	Places Mechanism = "places"
+	// FailureAvoidance tries endpoints with recent failures last.
+	FailureAvoidance Mechanism = "health"
+	// OwnZoneFirst prefers engines in the zone of the box where the order is otherwise arbitrary.
+	OwnZoneFirst Mechanism = "near_zone"
+	// SendWithoutOwner sends a request without a grant to an engine that has the adapter loaded, if no owner can be reached.
+	SendWithoutOwner Mechanism = "ownerless"
+	// StallDetection aborts a response stream that has stopped sending data, so that the request can continue on another engine.
+	StallDetection Mechanism = "stalls"
+	// ConcurrencyLimit limits the concurrent requests of all boxes at each endpoint of a plain service. One box counts them for each endpoint.
+	ConcurrencyLimit Mechanism = "places"
 	// BaseOnDemand loads a base model from the weight store only on engines that are needed for requests.
 	BaseOnDemand Mechanism = "base_on_demand"
 	// Quarantine refuses a request after the configured number of endpoints have crashed while they ran it.
@@ -54,7 +54,7 @@
 // Mechanisms returns all mechanisms.
 func Mechanisms() []Mechanism {
 	return []Mechanism{
-		Copies, Crowds, Order, Admission, Prefixes, ReadRate, LoadTime, SlotWait, AtHand, UseRate, Health, NearZone, Ownerless, Stalls, Places, BaseOnDemand, Quarantine,
+		CopyLimit, CrowdDetection, PreferenceOrder, Admission, PrefixReuse, ReadRate, LoadTime, SlotWait, FastReload, UseRate, FailureAvoidance, OwnZoneFirst, SendWithoutOwner, StallDetection, ConcurrencyLimit, BaseOnDemand, Quarantine,
 	}
 }
 
@@ -82,5 +82,5 @@
 	return strings.Join(names, ", ")
 }
 
-// On reports whether a mechanism is switched on.
-func (p Policy) On(m Mechanism) bool { return !slices.Contains(p.off, m) }
+// IsEnabled reports whether a mechanism is switched on.
+func (p Policy) IsEnabled(m Mechanism) bool { return !slices.Contains(p.off, m) }
--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -60,8 +60,8 @@
 		}
 		_, failures := r.health.load(e.Name, now)
 		byName[e.Name] = candidate{
-			name: e.Name, address: e.Spec.Address, started: e.Spec.Started, owner: view.Owner, failedRecently: failures >= avoidThreshold && r.cfg.Policy.On(policy.Health),
-			holdsVersion: listsVersion(e, ref) || r.holdings.has(ref, e.Name, now), sameZone: e.Spec.Zone == r.cfg.Zone && r.cfg.Policy.On(policy.NearZone),
+			name: e.Name, address: e.Spec.Address, started: e.Spec.Started, owner: view.Owner, failedRecently: failures >= avoidThreshold && r.cfg.Policy.IsEnabled(policy.FailureAvoidance),
+			holdsVersion: listsVersion(e, ref) || r.holdings.has(ref, e.Name, now), sameZone: e.Spec.Zone == r.cfg.Zone && r.cfg.Policy.IsEnabled(policy.OwnZoneFirst),
 		}
 		names = append(names, e.Name)
 	}
@@ -75,7 +75,7 @@
 	for _, name := range placement.Rank(key, names) {
 		ranked = append(ranked, byName[name])
 	}
-	return orderCandidates(ranked, r.crowdedRefs.Has(ref, now) && r.cfg.Policy.On(policy.Crowds))
+	return orderCandidates(ranked, r.crowdedRefs.Has(ref, now) && r.cfg.Policy.IsEnabled(policy.CrowdDetection))
 }
 
 // orderCandidates returns ranked candidates in the order in which they are asked. The first maxCandidates come first,
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -109,12 +109,12 @@
 		}
 	}
 	ask := r.newAsk(q, ref)
-	ask.MaxWait, ask.LocalOnly = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.On(policy.Copies)
+	ask.MaxWait, ask.LocalOnly = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.IsEnabled(policy.CopyLimit)
 	offers := r.newOffers(q)
 	lastErr := result.New(result.NoEngine, "%s of %s", q.head.Model, q.service)
 	asked := 0
 	for i := range candidates {
-		askMore := offers.isCrowded() && r.cfg.Policy.On(policy.Crowds)
+		askMore := offers.isCrowded() && r.cfg.Policy.IsEnabled(policy.CrowdDetection)
 		if asked >= maxCandidates && !askMore {
 			break
 		}
@@ -171,7 +171,7 @@
 // acceptOffer waits for the grant of the engine with the best offer. It refuses the request at once if the engine is
 // not expected to start the request in its time.
 func (r *Relay) acceptOffer(ctx context.Context, q *request, best *offer, ask grant.Request) (*chosenEngine, *result.Error) {
-	if ask.StartIn < best.wait && r.cfg.Policy.On(policy.Admission) {
+	if ask.StartIn < best.wait && r.cfg.Policy.IsEnabled(policy.Admission) {
 		unmet := result.New(result.DeadlineUnmet, "the earliest start is in %s", best.wait.Round(time.Millisecond))
 		unmet.RetryAfter = best.wait
 		return nil, unmet
@@ -183,14 +183,14 @@
 // newOffers returns an empty collection of offers for a request.
 func (r *Relay) newOffers(q *request) offers {
 	return offers{
-		limitCopies: r.cfg.Policy.On(policy.Copies), minGain: shareOf(q.route.Objective, copyGainShare),
+		limitCopies: r.cfg.Policy.IsEnabled(policy.CopyLimit), minGain: shareOf(q.route.Objective, copyGainShare),
 		inTime: shareOf(q.route.Objective, inTimeShare) - clock.Since(q.receivedAt),
 	}
 }
 
 // positionWeight returns the time that one position in the candidate order is worth for a request.
 func (r *Relay) positionWeight(q *request) time.Duration {
-	if !r.cfg.Policy.On(policy.Order) {
+	if !r.cfg.Policy.IsEnabled(policy.PreferenceOrder) {
 		return 0
 	}
 	return shareOf(q.route.Objective, positionShare)
@@ -272,7 +272,7 @@
 // Sending a request needs no authority, and an engine that does not hold the version refuses the request without
 // running it.
 func (r *Relay) chooseWithoutOwner(candidates []candidate, ref resource.Ref) *chosenEngine {
-	if !r.cfg.Policy.On(policy.Ownerless) {
+	if !r.cfg.Policy.IsEnabled(policy.SendWithoutOwner) {
 		return nil
 	}
 	now := clock.Now()
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -197,7 +197,7 @@
 // startStallWatch starts to watch a stream for stalls. The watch does nothing if the stream cannot be resumed.
 func (r *Relay) startStallWatch(q *request, cancel context.CancelFunc) *stallWatch {
 	w := &stallWatch{fired: make(chan struct{})}
-	if !r.cfg.Policy.On(policy.Stalls) || !q.route.Idempotent() || q.possibleRuns+1 >= q.route.Attempts {
+	if !r.cfg.Policy.IsEnabled(policy.StallDetection) || !q.route.Idempotent() || q.possibleRuns+1 >= q.route.Attempts {
 		return w
 	}
 	w.timer = time.AfterFunc(firstEventObjectives*time.Duration(q.route.Objective), func() {
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -118,7 +118,7 @@
 		Endpoint: e.Name, Started: e.Spec.Started, Slots: e.Spec.Slots, MaxLatency: shareOf(q.route.Objective, plainAnswerShare) - clock.Since(q.receivedAt), Hold: q.timeLeft(),
 		Urgency: q.urgency(), Customer: q.customerName(),
 	}
-	if !r.cfg.Policy.On(policy.Places) {
+	if !r.cfg.Policy.IsEnabled(policy.ConcurrencyLimit) {
 		a.Slots = places.UnlimitedSlots
 	}
 	return a
