--- a/internal/box/orders.go
+++ b/internal/box/orders.go
@@ -18,17 +18,17 @@
 
 var _ owner.Engines = quarantinedOrders{}
 
-// Give implements owner.Engines.
-func (q quarantinedOrders) Give(ctx context.Context, to engine.Target, o engine.Order) error {
+// SendOrder implements owner.Engines.
+func (q quarantinedOrders) SendOrder(ctx context.Context, to engine.Target, o engine.Order) error {
 	if o.Action != engine.ActionLoad {
-		return q.Engines.Give(ctx, to, o)
+		return q.Engines.SendOrder(ctx, to, o)
 	}
 	// A version is another load: one that is named later is tried anew.
 	load := quarantine.Identity{Method: string(o.Action), Path: o.Model}.Suspect()
 	if rerr := q.quarantine.Refusal(load.Fingerprint); rerr != nil {
 		return &engine.OrderRefusedError{Type: engine.RefusalLoadFailed, Message: rerr.Error()}
 	}
-	err := q.Engines.Give(ctx, to, o)
+	err := q.Engines.SendOrder(ctx, to, o)
 	switch {
 	case err == nil:
 		q.quarantine.Ran(load.Fingerprint)
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -151,7 +151,7 @@
 	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, OnLeaving: func(e notice.Endpoint, heard bool) {
 		b.catalog.InvalidateTopology()
 		if runner, ok := b.owners.Get(e.Name); ok {
-			runner.HearLeft()
+			runner.RecordLeaving()
 		}
 		if heard {
 			b.teller.ReportLeaving(e)
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -100,7 +100,7 @@
 		printEngines(w, topology)
 	}
 	for _, e := range st.Engines {
-		_, _ = fmt.Fprintf(w, "owned %s\tin_flight=%d\twaiting=%d\tfrozen=%t\tleft=%t\trate_refused=%d\t%s\n", e.Engine, e.InFlight, e.Waiting, e.Frozen, e.Left, e.RateRefused, strings.Join(e.Loaded, " "))
+		_, _ = fmt.Fprintf(w, "owned %s\tin_flight=%d\twaiting=%d\tfrozen=%t\tleft=%t\trate_refused=%d\t%s\n", e.Engine, e.InFlight, e.Waiting, e.Frozen, e.Leaving, e.RateRefused, strings.Join(e.Loaded, " "))
 	}
 	return w.Flush()
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -53,8 +53,8 @@
 // NewClient returns a Client that sends its calls with cfg.HTTP.
 func NewClient(cfg ClientConfig) *Client { return &Client{http: cfg.HTTP} }
 
-// Give sends an order and waits until the engine has executed it.
-func (c *Client) Give(ctx context.Context, to Target, o Order) error {
+// SendOrder sends an order and waits until the engine has executed it.
+func (c *Client) SendOrder(ctx context.Context, to Target, o Order) error {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	body, err := json.Marshal(o)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -29,11 +29,11 @@
 		rate := w.Rate
 		rate.Started = grant.Engine.Started
 		if g.cfg.Rates.Record(now, grant.Name, rate) {
-			grant.HearRate(rate)
+			grant.UpdateRate(rate)
 		}
 	}
 	if w.Leaving {
-		grant.HearLeft()
+		grant.RecordLeaving()
 		w.Leaving = false
 	}
 	g.cfg.Notices.RecordNotices(now, engineEndpoint(grant.Name), w)
@@ -72,7 +72,7 @@
 
 // checkGranted returns an error if the engine announced that it is leaving or asked for a rest while the request waited for its grant.
 func (g *Gateway) checkGranted(grant *owner.Grant) *result.Error {
-	if grant.Left() {
+	if grant.IsLeaving() {
 		return result.New(result.EndpointLeaving, "%s", grant.Name)
 	}
 	return g.admit(engineEndpoint(grant.Name))
--- a/internal/grant/message.go
+++ b/internal/grant/message.go
@@ -38,7 +38,7 @@
 	Prompt int  `json:"prompt,omitempty"`
 	Output int  `json:"output,omitempty"`
 	// Parts are the parts of the prompt that other requests may share, in order.
-	Parts []owner.Part `json:"parts,omitempty"`
+	Parts []owner.PromptPart `json:"parts,omitempty"`
 	// Customer owns the request.
 	Customer string `json:"customer,omitempty"`
 	// Rate is the engine's limit of requests per second that the requesting box knows.
@@ -49,7 +49,7 @@
 func (a *Request) OwnerRequest(now time.Time) (owner.Request, *result.Error) {
 	q := owner.Request{
 		Weights: a.Weights, Urgency: a.Urgency, StartBy: now.Add(a.StartIn), Last: a.Last,
-		Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, Accept: a.MaxWait, Near: a.LocalOnly, Pressed: a.OthersTooSlow,
+		Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, MaxWait: a.MaxWait, LocalOnly: a.LocalOnly, OthersTooSlow: a.OthersTooSlow,
 		Customer: a.Customer, Rate: a.Rate,
 	}
 	if a.Ref == "" {
--- a/internal/grant/server.go
+++ b/internal/grant/server.go
@@ -119,7 +119,7 @@
 	h, ok := s.held[id]
 	s.mu.Unlock()
 	if ok {
-		h.grant.Read()
+		h.grant.RecordFirstToken()
 	}
 }
 
@@ -146,7 +146,7 @@
 	for _, e := range msg.Rates {
 		s.cfg.Rates.Record(clock.Now(), e.Engine, e.Rate)
 		if runner, ok := s.cfg.Owners.Get(e.Engine); ok {
-			runner.HearRate(e.Rate)
+			runner.UpdateRate(e.Rate)
 		}
 	}
 	for _, e := range msg.Ends {
--- a/internal/owner/action.go
+++ b/internal/owner/action.go
@@ -24,7 +24,7 @@
 	Prompt int
 	Output int
 	// Parts lists the shareable parts of the prompt in order.
-	Parts []Part
+	Parts []PromptPart
 	// MaxWait is the longest acceptable expected wait for the first token. If the expected wait is longer, the ticket is refused so
 	// that the caller tries its next engine. Zero accepts any wait.
 	MaxWait time.Duration
@@ -59,9 +59,9 @@
 	Err    *result.Error
 }
 
-// AskPermit requests a permit for one load from the weight store's budget. State may use the granted permit for another adapter
+// RequestPermit requests a permit for one load from the weight store's budget. State may use the granted permit for another adapter
 // that has become more urgent by then.
-type AskPermit struct {
+type RequestPermit struct {
 	Ref     resource.Ref
 	Urgency int
 	StartBy time.Time
@@ -85,10 +85,10 @@
 // ReturnPermit returns an unused permit.
 type ReturnPermit struct{}
 
-func (Start) action()        {}
-func (Refuse) action()       {}
-func (AskPermit) action()    {}
-func (Load) action()         {}
-func (LoadBase) action()     {}
-func (Unload) action()       {}
-func (ReturnPermit) action() {}
+func (Start) action()         {}
+func (Refuse) action()        {}
+func (RequestPermit) action() {}
+func (Load) action()          {}
+func (LoadBase) action()      {}
+func (Unload) action()        {}
+func (ReturnPermit) action()  {}
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -30,7 +30,7 @@
 				id++
 				now = now.Add(time.Millisecond)
 				s.Submit(now, owner.Ticket{ID: id, Ref: hot[id%16], Urgency: 50, Arrived: now, StartBy: now.Add(time.Hour)})
-				s.Done(now, id, owner.EndWhole)
+				s.FinishTicket(now, id, owner.EndWhole)
 			}
 		})
 	}
--- a/internal/owner/loading.go
+++ b/internal/owner/loading.go
@@ -8,8 +8,8 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Granted handles the permit requested for ref. The permit is used for the most urgent load, which may be for another adapter.
-func (s *State) Granted(now time.Time, ref resource.Ref) []Action {
+// PermitGranted handles the permit requested for ref. The permit is used for the most urgent load, which may be for another adapter.
+func (s *State) PermitGranted(now time.Time, ref resource.Ref) []Action {
 	delete(s.permitRequests, ref)
 	t, ok := s.mostUrgentMissing(now)
 	if !ok || s.stopped {
@@ -69,9 +69,9 @@
 	s.emit(l)
 }
 
-// Unloaded handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported that
+// FinishUnload handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported that
 // it does not have the adapter.
-func (s *State) Unloaded(now time.Time, ref resource.Ref, err error) []Action {
+func (s *State) FinishUnload(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != unloading {
 		return s.schedule(now)
@@ -109,8 +109,8 @@
 	return errors.As(err, &refused) && refused.Type == engine.RefusalNotThere
 }
 
-// Loaded handles the result of a Load. On failure the waiting tickets are refused and the adapter enters backoff.
-func (s *State) Loaded(now time.Time, ref resource.Ref, err error) []Action {
+// FinishLoad handles the result of a Load. On failure the waiting tickets are refused and the adapter enters backoff.
+func (s *State) FinishLoad(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != loading {
 		return s.schedule(now)
--- a/internal/owner/loading_test.go
+++ b/internal/owner/loading_test.go
@@ -19,14 +19,14 @@
 	now := time.Unix(1000, 0)
 	s := newDiscoveredState(1)
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	c.Assert(actionsOf[owner.Load](s.Granted(now, ref(1))), qt.HasLen, 1)
-	s.Loaded(now, ref(1), errors.New("no answer"))
+	c.Assert(actionsOf[owner.Load](s.PermitGranted(now, ref(1))), qt.HasLen, 1)
+	s.FinishLoad(now, ref(1), errors.New("no answer"))
 	now = now.Add(5 * time.Second)
 	s.Submit(now, owner.Ticket{ID: 2, Ref: ref(2), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	c.Check(actionsOf[owner.Load](s.Granted(now, ref(2))), qt.HasLen, 0)
+	c.Check(actionsOf[owner.Load](s.PermitGranted(now, ref(2))), qt.HasLen, 0)
 	now = now.Add(11 * time.Second)
-	c.Check(actionsOf[owner.AskPermit](s.Tick(now)), qt.HasLen, 1)
-	c.Check(actionsOf[owner.Load](s.Granted(now, ref(2))), qt.HasLen, 1)
+	c.Check(actionsOf[owner.RequestPermit](s.Tick(now)), qt.HasLen, 1)
+	c.Check(actionsOf[owner.Load](s.PermitGranted(now, ref(2))), qt.HasLen, 1)
 }
 
 // TestReplacedVersionKeepsSlotUntilNewVersionIsLoaded checks that the old and the new version of an adapter both occupy a slot
@@ -41,12 +41,12 @@
 		ID: 1, Ref: first, Arrived: now, StartBy: now.Add(time.Minute),
 	})), qt.HasLen, 1)
 	s.Submit(now, owner.Ticket{ID: 2, Ref: second, Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	c.Assert(actionsOf[owner.Load](s.Granted(now, second)), qt.HasLen, 1)
+	c.Assert(actionsOf[owner.Load](s.PermitGranted(now, second)), qt.HasLen, 1)
 	s.Submit(now, owner.Ticket{ID: 3, Ref: other, Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	c.Check(actionsOf[owner.Load](s.Granted(now, other)), qt.HasLen, 0)
-	c.Check(actionsOf[owner.Start](s.Loaded(now, second, nil)), qt.HasLen, 1)
+	c.Check(actionsOf[owner.Load](s.PermitGranted(now, other)), qt.HasLen, 0)
+	c.Check(actionsOf[owner.Start](s.FinishLoad(now, second, nil)), qt.HasLen, 1)
 	c.Check(s.IsLoaded(first), qt.IsFalse)
-	c.Check(actionsOf[owner.Load](s.Granted(now, other)), qt.HasLen, 1)
+	c.Check(actionsOf[owner.Load](s.PermitGranted(now, other)), qt.HasLen, 1)
 }
 
 // TestNoLoadBeforeFirstReport checks that no load is requested while the loaded adapters of the engine are unknown.
@@ -55,7 +55,7 @@
 	now := time.Unix(1000, 0)
 	s := owner.New(owner.Config{Slots: 1, Batch: 1, MaxQueue: 4, AwaitReport: true})
 	actions := s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	c.Check(actionsOf[owner.AskPermit](actions), qt.HasLen, 0)
+	c.Check(actionsOf[owner.RequestPermit](actions), qt.HasLen, 0)
 	s.Adopt([]resource.Ref{ref(1)}, false)
 	c.Check(actionsOf[owner.Start](s.Tick(now)), qt.HasLen, 1)
 }
@@ -68,10 +68,10 @@
 	s := newDiscoveredState(2)
 	s.Adopt([]resource.Ref{ref(1), ref(2)}, false)
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(3), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	unload := actionsOf[owner.Unload](s.Granted(now, ref(3)))
+	unload := actionsOf[owner.Unload](s.PermitGranted(now, ref(3)))
 	c.Assert(unload, qt.HasLen, 1)
 	s.Adopt([]resource.Ref{ref(4), ref(5)}, false)
-	actions := s.Unloaded(now, unload[0].Ref, nil)
+	actions := s.FinishUnload(now, unload[0].Ref, nil)
 	c.Check(actionsOf[owner.Load](actions), qt.HasLen, 0)
 	c.Check(actionsOf[owner.ReturnPermit](actions), qt.HasLen, 1)
 }
@@ -84,9 +84,9 @@
 	s := newDiscoveredState(1)
 	s.Adopt([]resource.Ref{ref(1)}, false)
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(2), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-	unloads := actionsOf[owner.Unload](s.Granted(now, ref(2)))
+	unloads := actionsOf[owner.Unload](s.PermitGranted(now, ref(2)))
 	c.Assert(unloads, qt.HasLen, 1)
-	loads := actionsOf[owner.Load](s.Unloaded(now, ref(1), &engine.OrderRefusedError{Type: engine.RefusalNotThere}))
+	loads := actionsOf[owner.Load](s.FinishUnload(now, ref(1), &engine.OrderRefusedError{Type: engine.RefusalNotThere}))
 	c.Assert(loads, qt.HasLen, 1)
 	c.Check(loads[0].Ref, qt.Equals, ref(2))
 }
@@ -103,12 +103,12 @@
 	for until := now.Add(time.Second); now.Before(until); now = now.Add(10 * time.Millisecond) {
 		for i := 0; len(pending) > 0 && i < 100; i++ {
 			var next []owner.Action
-			for range actionsOf[owner.AskPermit](pending) {
-				next = append(next, s.Granted(now, ref(2))...)
+			for range actionsOf[owner.RequestPermit](pending) {
+				next = append(next, s.PermitGranted(now, ref(2))...)
 			}
 			for _, u := range actionsOf[owner.Unload](pending) {
 				unloads++
-				next = append(next, s.Unloaded(now, u.Ref, errors.New("no authority"))...)
+				next = append(next, s.FinishUnload(now, u.Ref, errors.New("no authority"))...)
 			}
 			pending = next
 		}
--- a/internal/owner/machine_test.go
+++ b/internal/owner/machine_test.go
@@ -44,7 +44,7 @@
 				t.Fatalf("refused %v, which is not waiting", a.Ticket)
 			}
 			delete(m.waiting, a.Ticket.ID)
-		case owner.AskPermit:
+		case owner.RequestPermit:
 			m.permitRequests = append(m.permitRequests, a.Ref)
 		case owner.ReturnPermit:
 			m.permits--
@@ -118,7 +118,7 @@
 					end = owner.EndNotLoaded
 				}
 				wasLoaded := m.state.IsLoaded(r)
-				actions := m.state.Done(m.now, id, end)
+				actions := m.state.FinishTicket(m.now, id, end)
 				// EndNotLoaded of a request that started before the adapter was loaded again does not remove the adapter.
 				if wasLoaded && !m.state.IsLoaded(r) && !m.unloading[r] {
 					delete(m.loaded, r)
@@ -143,7 +143,7 @@
 				return
 			}
 			m.permits++
-			m.apply(t, m.state.Granted(m.now, r))
+			m.apply(t, m.state.PermitGranted(m.now, r))
 		},
 		"loaded": func(t *rapid.T) {
 			if r, ok := drawKey(t, m.loading); ok {
@@ -154,7 +154,7 @@
 				} else {
 					m.loaded[r] = true
 				}
-				m.apply(t, m.state.Loaded(m.now, r, err))
+				m.apply(t, m.state.FinishLoad(m.now, r, err))
 			}
 		},
 		"unloaded": func(t *rapid.T) {
@@ -166,7 +166,7 @@
 				} else {
 					delete(m.loaded, r)
 				}
-				m.apply(t, m.state.Unloaded(m.now, r, err))
+				m.apply(t, m.state.FinishUnload(m.now, r, err))
 			}
 		},
 		"time": func(t *rapid.T) {
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -19,7 +19,7 @@
 	return engine.Target{Name: r.cfg.Name, Address: r.cfg.Engine.Address}
 }
 
-func (r *Runner) requestPermit(ctx context.Context, a AskPermit) {
+func (r *Runner) requestPermit(ctx context.Context, a RequestPermit) {
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(a.StartBy))
 	defer cancel()
 	p, err := r.cfg.Loads.Acquire(ctx, loads.Request{Engine: r.cfg.Name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters})
@@ -79,7 +79,7 @@
 			current, ok := r.cfg.Authority(clock.Now())
 			return ok && current == epoch
 		}
-		err = r.cfg.Client.Give(ctx, r.target(), o)
+		err = r.cfg.Client.SendOrder(ctx, r.target(), o)
 		if err == nil || isFinal(err) || ctx.Err() != nil {
 			return err
 		}
--- a/internal/owner/prefill_test.go
+++ b/internal/owner/prefill_test.go
@@ -11,7 +11,7 @@
 )
 
 // expectedWait returns the expected wait for the first token of a new request.
-func expectedWait(c *qt.C, s *owner.State, now time.Time, prompt, urgency int, parts ...owner.Part) time.Duration {
+func expectedWait(c *qt.C, s *owner.State, now time.Time, prompt, urgency int, parts ...owner.PromptPart) time.Duration {
 	actions := s.Submit(now, owner.Ticket{
 		ID: 9999, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute),
 		Prompt: prompt, Urgency: urgency, Parts: parts, MaxWait: time.Nanosecond,
@@ -22,7 +22,7 @@
 }
 
 // submitPrompt submits a ticket that starts at once.
-func submitPrompt(s *owner.State, now time.Time, id uint64, prompt int, parts ...owner.Part) {
+func submitPrompt(s *owner.State, now time.Time, id uint64, prompt int, parts ...owner.PromptPart) {
 	s.Submit(now, owner.Ticket{
 		ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: prompt, Urgency: 1, Parts: parts, Last: true,
 	})
@@ -50,7 +50,7 @@
 				submitPrompt(s, now, id, 4000)
 				now = now.Add(time.Duration(4000 / tt.rate * float64(time.Second)))
 				s.RecordFirstToken(now, id)
-				s.Done(now, id, owner.EndWhole)
+				s.FinishTicket(now, id, owner.EndWhole)
 			}
 			want := time.Duration(2000 / tt.rate * float64(time.Second))
 			got := expectedWait(c, s, now, 2000, 1)
@@ -67,20 +67,20 @@
 			now := time.Unix(1000, 0)
 			s := owner.New(owner.Config{Slots: 2, Batch: 8, MaxQueue: 100, PrefillRate: tt.rate, KVTokens: tt.kvTokens})
 			s.Adopt([]resource.Ref{ref(1)}, false)
-			shared := owner.Part{Key: 1, Tokens: 6000}
-			fullWait := expectedWait(c, s, now, 8000, 1, shared, owner.Part{Key: 2, Tokens: 2000})
-			submitPrompt(s, now, 1, 8000, shared, owner.Part{Key: 2, Tokens: 2000})
+			shared := owner.PromptPart{Key: 1, Tokens: 6000}
+			fullWait := expectedWait(c, s, now, 8000, 1, shared, owner.PromptPart{Key: 2, Tokens: 2000})
+			submitPrompt(s, now, 1, 8000, shared, owner.PromptPart{Key: 2, Tokens: 2000})
 			now = now.Add(fullWait)
 			s.RecordFirstToken(now, 1)
-			s.Done(now, 1, owner.EndWhole)
-			c.Check(expectedWait(c, s, now, 8000, 1, shared, owner.Part{Key: 3, Tokens: 2000}), qt.Equals, fullWait/4)
+			s.FinishTicket(now, 1, owner.EndWhole)
+			c.Check(expectedWait(c, s, now, 8000, 1, shared, owner.PromptPart{Key: 3, Tokens: 2000}), qt.Equals, fullWait/4)
 			now = now.Add(time.Minute)
-			c.Check(expectedWait(c, s, now, 8000, 1, owner.Part{Key: 4, Tokens: 6000}, owner.Part{Key: 3, Tokens: 2000}), qt.Equals, fullWait)
+			c.Check(expectedWait(c, s, now, 8000, 1, owner.PromptPart{Key: 4, Tokens: 6000}, owner.PromptPart{Key: 3, Tokens: 2000}), qt.Equals, fullWait)
 			for id := range uint64(tt.kvTokens/8000 + 1) {
-				submitPrompt(s, now, 10+id, 8000, owner.Part{Key: 100 + id, Tokens: 8000})
-				s.Done(now, 10+id, owner.EndWhole)
+				submitPrompt(s, now, 10+id, 8000, owner.PromptPart{Key: 100 + id, Tokens: 8000})
+				s.FinishTicket(now, 10+id, owner.EndWhole)
 			}
-			c.Check(expectedWait(c, s, now, 8000, 1, shared, owner.Part{Key: 3, Tokens: 2000}), qt.Equals, fullWait)
+			c.Check(expectedWait(c, s, now, 8000, 1, shared, owner.PromptPart{Key: 3, Tokens: 2000}), qt.Equals, fullWait)
 		})
 	}
 }
@@ -101,7 +101,7 @@
 	now = now.Add(300 * time.Millisecond)
 	s.RecordFirstToken(now, 1)
 	c.Check(expectedWait(c, s, now, 100, 1), qt.Equals, 400*time.Millisecond)
-	s.Done(now, 2, owner.EndBroken)
+	s.FinishTicket(now, 2, owner.EndBroken)
 	c.Check(expectedWait(c, s, now, 100, 1), qt.Equals, 100*time.Millisecond)
 }
 
@@ -123,7 +123,7 @@
 				submitPrompt(s, now, id, 4000)
 				now = now.Add(took)
 				s.RecordFirstToken(now, id)
-				s.Done(now, id, owner.EndWhole)
+				s.FinishTicket(now, id, owner.EndWhole)
 			}
 			c.Check(expectedWait(c, s, now, 4000, 1) < usual*6/5, qt.IsTrue)
 		})
--- a/internal/owner/prefixes.go
+++ b/internal/owner/prefixes.go
@@ -6,8 +6,8 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Part is a part of a prompt that other requests may share. Its key identifies this part together with all parts before it.
-type Part struct {
+// PromptPart is a part of a prompt that other requests may share. Its key identifies this part together with all parts before it.
+type PromptPart struct {
 	Key    uint64 `json:"k"`
 	Tokens int    `json:"t"`
 }
@@ -44,7 +44,7 @@
 }
 
 // cachedTokens returns the number of tokens at the start of a prompt that are in the engine's cache.
-func (p *prefixCache) cachedTokens(ref resource.Ref, parts []Part) int {
+func (p *prefixCache) cachedTokens(ref resource.Ref, parts []PromptPart) int {
 	sum := 0
 	for _, part := range parts {
 		if !p.lru.Contains(prefixKey{ref, part.Key}) {
@@ -57,7 +57,7 @@
 
 // add stores the parts of a prompt. It adds the last part first, so that a part is removed later than the parts that follow it in
 // the prompt and need it.
-func (p *prefixCache) add(ref resource.Ref, parts []Part) {
+func (p *prefixCache) add(ref resource.Ref, parts []PromptPart) {
 	for i := len(parts) - 1; i >= 0; i-- {
 		k := prefixKey{ref, parts[i].Key}
 		if _, ok := p.lru.Get(k); ok {
--- a/internal/owner/rate_test.go
+++ b/internal/owner/rate_test.go
@@ -51,7 +51,7 @@
 		actions := s.Submit(now, localTicket(now, id, "held"))
 		if refusalCode(actions) == 0 {
 			started++
-			s.Done(now, id, EndWhole)
+			s.FinishTicket(now, id, EndWhole)
 			continue
 		}
 		c.Check(refusalCode(actions), qt.Equals, result.RateLimited)
@@ -91,7 +91,7 @@
 	c.Check(refusalCode(s.Submit(now, localTicket(now, 2, "held"))), qt.Equals, result.RateLimited)
 	s.Cancel(now, 1)
 	c.Check(refusalCode(s.Submit(now, localTicket(now, 3, "held"))), qt.Equals, result.Code(0))
-	s.Done(now, 3, EndWhole)
+	s.FinishTicket(now, 3, EndWhole)
 	now = now.Add(2 * time.Second)
 	queued.ID, queued.Arrived, queued.StartBy = 4, now, now.Add(100*time.Millisecond)
 	c.Assert(refusalCode(s.Submit(now, queued)), qt.Equals, result.Code(0))
@@ -105,7 +105,7 @@
 	c := qt.New(t)
 	s := stateWithRate(0.1)
 	c.Assert(refusalCode(s.Submit(testStart, localTicket(testStart, 1, "held"))), qt.Equals, result.RateLimited)
-	s.Restarted(testStart)
+	s.ResetAfterRestart(testStart)
 	s.Adopt([]resource.Ref{{Adapter: "held", Version: "1"}}, false)
 	c.Check(refusalCode(s.Submit(testStart, localTicket(testStart, 2, "held"))), qt.Equals, result.Code(0))
 }
@@ -122,7 +122,7 @@
 		t.SharedRate = true
 		if refusalCode(s.Submit(now, t)) == 0 {
 			started++
-			s.Done(now, i, EndWhole)
+			s.FinishTicket(now, i, EndWhole)
 		}
 	}
 	c.Check(started >= 14 && started <= 18, qt.IsTrue, qt.Commentf("%d requests started, the full rate allows 40", started))
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -36,7 +36,7 @@
 		r.engineLeaving = rep.Notice.Leaving
 		actions = append(actions, r.updateClosed(now)...)
 		r.cfg.Scope.Counter("engine_restarts").Inc(1)
-		actions = append(actions, r.state.Restarted(now)...)
+		actions = append(actions, r.state.ResetAfterRestart(now)...)
 	}
 	r.incarnation = rep.Incarnation
 	r.baseMissing = rep.BaseModels != nil && !slices.Contains(rep.BaseModels, r.cfg.Engine.BaseModel)
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -39,9 +39,9 @@
 
 // Engines sends orders to engines and fetches their reports over the network.
 type Engines interface {
-	// Give sends an order and returns once the engine has carried it out. It returns an *engine.OrderRefusedError if the engine
+	// SendOrder sends an order and returns once the engine has carried it out. It returns an *engine.OrderRefusedError if the engine
 	// refuses.
-	Give(ctx context.Context, to engine.Target, o engine.Order) error
+	SendOrder(ctx context.Context, to engine.Target, o engine.Order) error
 	// Report fetches the current report of an engine.
 	Report(ctx context.Context, from engine.Target) (engine.Report, error)
 }
@@ -134,8 +134,8 @@
 	Loaded   []string `json:"loaded"`
 	// Frozen is true while this box has no authority to send orders to the engine.
 	Frozen bool `json:"frozen,omitempty"`
-	// Left is true if the engine has announced that it is leaving.
-	Left bool `json:"left,omitempty"`
+	// Leaving is true if the engine has announced that it is leaving.
+	Leaving bool `json:"left,omitempty"`
 	// RateRefused is the number of requests refused because of the engine's rate limit, since the engine set one.
 	RateRefused int `json:"rate_refused,omitempty"`
 }
@@ -194,18 +194,18 @@
 	}
 }
 
-// HearRate updates the engine's rate limit, as received from the engine or from another box.
-func (r *Runner) HearRate(w ratelimit.Report) { r.post(rateReceived{w}) }
+// UpdateRate updates the engine's rate limit, as received from the engine or from another box.
+func (r *Runner) UpdateRate(w ratelimit.Report) { r.post(rateReceived{w}) }
 
 // Rate returns the engine's rate limit, or nil if it has none.
 func (r *Runner) Rate() *ratelimit.Report { return r.rate.Load() }
 
-// HearLeft records that the engine has announced that it is leaving. It gets no new requests or orders until it
+// RecordLeaving records that the engine has announced that it is leaving. It gets no new requests or orders until it
 // restarts.
-func (r *Runner) HearLeft() { r.post(leaveNoticeReceived{}) }
+func (r *Runner) RecordLeaving() { r.post(leaveNoticeReceived{}) }
 
-// Left reports whether the engine has announced that it is leaving.
-func (r *Runner) Left() bool { return r.publishedLeaving.Load() }
+// IsLeaving reports whether the engine has announced that it is leaving.
+func (r *Runner) IsLeaving() bool { return r.publishedLeaving.Load() }
 
 // SetBoxLeaving sets whether the engine's box is leaving. While it is, waiting and new requests are refused so that they go to
 // other engines.
@@ -223,14 +223,14 @@
 	Prompt int
 	Output int
 	// Parts lists the shareable parts of the prompt in order.
-	Parts []Part
-	// Accept is the longest acceptable expected wait for the first token. Zero accepts any wait.
-	Accept time.Duration
-	// Near requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive Accept.
-	Near bool
-	// Pressed is true if none of the engines tried before can start the request in time. It only affects engines that have a rate
+	Parts []PromptPart
+	// MaxWait is the longest acceptable expected wait for the first token. Zero accepts any wait.
+	MaxWait time.Duration
+	// LocalOnly requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive Accept.
+	LocalOnly bool
+	// OthersTooSlow is true if none of the engines tried before can start the request in time. It only affects engines that have a rate
 	// limit or lack their base model.
-	Pressed bool
+	OthersTooSlow bool
 	// Customer sent the request.
 	Customer string
 	// Rate is the engine's rate limit as the requesting box knows it.
@@ -248,17 +248,17 @@
 	runner  *Runner
 }
 
-// Read records that the first token of the answer has arrived.
-func (g *Grant) Read() { g.runner.post(firstTokenReceived{g.id}) }
+// RecordFirstToken records that the first token of the answer has arrived.
+func (g *Grant) RecordFirstToken() { g.runner.post(firstTokenReceived{g.id}) }
 
-// HearRate updates the engine's rate limit, as received in the engine's answer.
-func (g *Grant) HearRate(w ratelimit.Report) { g.runner.HearRate(w) }
+// UpdateRate updates the engine's rate limit, as received in the engine's answer.
+func (g *Grant) UpdateRate(w ratelimit.Report) { g.runner.UpdateRate(w) }
 
-// HearLeft records that the engine has announced in its answer that it is leaving.
-func (g *Grant) HearLeft() { g.runner.HearLeft() }
+// RecordLeaving records that the engine has announced in its answer that it is leaving.
+func (g *Grant) RecordLeaving() { g.runner.RecordLeaving() }
 
-// Left reports whether the engine has announced in the meantime that it is leaving.
-func (g *Grant) Left() bool { return g.runner.Left() }
+// IsLeaving reports whether the engine has announced in the meantime that it is leaving.
+func (g *Grant) IsLeaving() bool { return g.runner.IsLeaving() }
 
 // Release ends the request. It must be called exactly once.
 func (g *Grant) Release(end End) { g.runner.post(ticketEnded{g.id, end}) }
@@ -269,7 +269,7 @@
 	reply := make(chan decision, 1)
 	t := Ticket{
 		ID: id, Ref: req.Ref, Weights: req.Weights, Urgency: req.Urgency, Arrived: clock.Now(), StartBy: req.StartBy, Last: req.Last,
-		Prompt: req.Prompt, Output: req.Output, Parts: req.Parts, MaxWait: req.Accept, LocalOnly: req.Near, OthersTooSlow: req.Pressed,
+		Prompt: req.Prompt, Output: req.Output, Parts: req.Parts, MaxWait: req.MaxWait, LocalOnly: req.LocalOnly, OthersTooSlow: req.OthersTooSlow,
 		Customer: req.Customer, Rate: req.Rate,
 	}
 	select {
@@ -377,7 +377,7 @@
 		delete(r.replies, e.id)
 		return r.state.Cancel(now, e.id)
 	case ticketEnded:
-		actions := r.state.Done(now, e.id, e.end)
+		actions := r.state.FinishTicket(now, e.id, e.end)
 		if e.end == EndNotListening {
 			actions = append(actions, r.markGone(now, "a request found no listener at the engine's address")...)
 		}
@@ -390,15 +390,15 @@
 		return nil
 	case permitGranted:
 		r.permits = append(r.permits, e.permit)
-		return r.state.Granted(now, e.ref)
+		return r.state.PermitGranted(now, e.ref)
 	case permitDenied:
 		return r.state.PermitDenied(now, e.ref)
 	case loadEnded:
 		r.ordersInFlight.Add(-1)
-		return append(r.state.Loaded(now, e.ref, e.err), r.markGoneIfNotFound(now, e.err)...)
+		return append(r.state.FinishLoad(now, e.ref, e.err), r.markGoneIfNotFound(now, e.err)...)
 	case unloadEnded:
 		r.ordersInFlight.Add(-1)
-		return append(r.state.Unloaded(now, e.ref, e.err), r.markGoneIfNotFound(now, e.err)...)
+		return append(r.state.FinishUnload(now, e.ref, e.err), r.markGoneIfNotFound(now, e.err)...)
 	case reportReceived:
 		return r.handleReport(now, e.report)
 	case connectionRefused:
@@ -445,7 +445,7 @@
 			r.sendDecision(a.Ticket.ID, decision{stalled: a.Stalled})
 		case Refuse:
 			r.sendDecision(a.Ticket.ID, decision{err: a.Err})
-		case AskPermit:
+		case RequestPermit:
 			r.orders.Go(func() error { r.requestPermit(ctx, a); return nil })
 		case Load:
 			permit := r.popPermit()
@@ -486,7 +486,7 @@
 	_, ok := r.cfg.Authority(clock.Now())
 	st := Status{
 		Engine: r.cfg.Name, InFlight: r.state.InFlight(), Waiting: r.state.Waiting(), Loaded: r.state.LoadedNames(),
-		Frozen: !ok, Left: r.engineLeaving, RateRefused: r.state.rateLimiter.Refused(),
+		Frozen: !ok, Leaving: r.engineLeaving, RateRefused: r.state.rateLimiter.Refused(),
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/owner/runner_test.go
+++ b/internal/owner/runner_test.go
@@ -22,8 +22,8 @@
 // replacedEngine is a client of an engine whose address belongs to another instance while replaced is set.
 type replacedEngine struct{ replaced atomic.Bool }
 
-// Give refuses orders while the engine is replaced.
-func (e *replacedEngine) Give(context.Context, engine.Target, engine.Order) error {
+// SendOrder refuses orders while the engine is replaced.
+func (e *replacedEngine) SendOrder(context.Context, engine.Target, engine.Order) error {
 	if e.replaced.Load() {
 		return &engine.OrderRefusedError{Type: engine.RefusalNotThere}
 	}
--- a/internal/owner/schedule.go
+++ b/internal/owner/schedule.go
@@ -65,7 +65,7 @@
 			return
 		}
 		s.permitRequests[t.Ref] = t.Urgency
-		s.emit(AskPermit{Ref: t.Ref, Urgency: t.Urgency, StartBy: t.StartBy, Waiters: s.waiters[t.Ref]})
+		s.emit(RequestPermit{Ref: t.Ref, Urgency: t.Urgency, StartBy: t.StartBy, Waiters: s.waiters[t.Ref]})
 	}
 }
 
--- a/internal/owner/state.go
+++ b/internal/owner/state.go
@@ -195,8 +195,8 @@
 	return s.schedule(now)
 }
 
-// Restarted removes all loaded adapters, because the engine has restarted and is empty.
-func (s *State) Restarted(now time.Time) []Action {
+// ResetAfterRestart removes all loaded adapters, because the engine has restarted and is empty.
+func (s *State) ResetAfterRestart(now time.Time) []Action {
 	for ref, sl := range s.slots {
 		if sl.phase == loaded {
 			delete(s.slots, ref)
@@ -248,7 +248,7 @@
 		s.returnRate(t)
 		return false
 	})
-	return s.Done(now, id, EndWhole)
+	return s.FinishTicket(now, id, EndWhole)
 }
 
 // End is the way in which a started ticket ended.
@@ -266,8 +266,8 @@
 	EndNotListening
 )
 
-// Done ends a running ticket.
-func (s *State) Done(now time.Time, id uint64, end End) []Action {
+// FinishTicket ends a running ticket.
+func (s *State) FinishTicket(now time.Time, id uint64, end End) []Action {
 	st, ok := s.running[id]
 	if !ok {
 		return s.schedule(now)
--- a/internal/owner/state_test.go
+++ b/internal/owner/state_test.go
@@ -37,8 +37,8 @@
 		}, result.TryNext},
 		{"the load failed", func(s *owner.State) []owner.Action {
 			s.Submit(now, owner.Ticket{ID: 1, Ref: ref(1), Arrived: now, StartBy: later})
-			s.Granted(now, ref(1))
-			return s.Loaded(now, ref(1), errors.New("broken"))
+			s.PermitGranted(now, ref(1))
+			return s.FinishLoad(now, ref(1), errors.New("broken"))
 		}, result.LoadFailed},
 		{"no slot can be freed", func(s *owner.State) []owner.Action {
 			s.Adopt([]resource.Ref{ref(2)}, true)
@@ -80,7 +80,7 @@
 	refused, ok := actions[0].(owner.Refuse)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(refused.Ticket.ID, qt.Equals, uint64(3))
-	actions = s.Done(now, 1, owner.EndWhole)
+	actions = s.FinishTicket(now, 1, owner.EndWhole)
 	started, ok := actions[0].(owner.Start)
 	c.Assert(ok, qt.IsTrue)
 	c.Check(started.Ticket.ID, qt.Equals, uint64(4))
--- a/internal/owner/uses_test.go
+++ b/internal/owner/uses_test.go
@@ -43,21 +43,21 @@
 			for id := range uint64(2) {
 				c.Assert(actionsOf[owner.Start](s.Submit(now, ticket(id+1, ref(1)))), qt.HasLen, 1)
 			}
-			s.Done(now, 1, owner.EndNotLoaded)
+			s.FinishTicket(now, 1, owner.EndNotLoaded)
 			if tt.endsBeforeLoad {
-				s.Done(now, 2, tt.end)
+				s.FinishTicket(now, 2, tt.end)
 			}
 			s.Submit(now, ticket(3, ref(1)))
-			c.Assert(actionsOf[owner.Load](s.Granted(now, ref(1))), qt.HasLen, 1)
-			s.Loaded(now, ref(1), nil)
-			s.Done(now, 3, owner.EndWhole)
+			c.Assert(actionsOf[owner.Load](s.PermitGranted(now, ref(1))), qt.HasLen, 1)
+			s.FinishLoad(now, ref(1), nil)
+			s.FinishTicket(now, 3, owner.EndWhole)
 			s.Submit(now, ticket(4, ref(2)))
 			if !tt.endsBeforeLoad {
-				c.Assert(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, 0, qt.Commentf("the older run is still in progress"))
-				s.Done(now, 2, tt.end)
+				c.Assert(actionsOf[owner.Unload](s.PermitGranted(now, ref(2))), qt.HasLen, 0, qt.Commentf("the older run is still in progress"))
+				s.FinishTicket(now, 2, tt.end)
 			}
 			now = now.Add(tt.wait)
-			c.Check(actionsOf[owner.Unload](s.Granted(now, ref(2))), qt.HasLen, tt.unloads)
+			c.Check(actionsOf[owner.Unload](s.PermitGranted(now, ref(2))), qt.HasLen, tt.unloads)
 		})
 	}
 }
--- a/internal/owner/wait_test.go
+++ b/internal/owner/wait_test.go
@@ -68,7 +68,7 @@
 		id++
 		submit(id, 0)
 		now = now.Add(400 * time.Millisecond)
-		s.Done(now, id, owner.EndWhole)
+		s.FinishTicket(now, id, owner.EndWhole)
 	}
 	for range 4 {
 		id++
@@ -118,9 +118,9 @@
 	usual := wait()
 	for i := range 20 {
 		s.Submit(now, owner.Ticket{ID: uint64(i), Ref: ref(i), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
-		s.Granted(now, ref(i))
+		s.PermitGranted(now, ref(i))
 		now = now.Add(2 * time.Second)
-		s.Loaded(now, ref(i), nil)
+		s.FinishLoad(now, ref(i), nil)
 	}
 	slow := wait()
 	c.Check(slow > 2*usual, qt.IsTrue, qt.Commentf("expected wait %v, usually %v", slow, usual))
@@ -137,7 +137,7 @@
 	s.Adopt([]resource.Ref{ref(1)}, false)
 	for id := range uint64(50) {
 		s.Submit(now, owner.Ticket{ID: id, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: 200, Last: true})
-		s.Done(now, id, owner.EndWhole)
+		s.FinishTicket(now, id, owner.EndWhole)
 	}
 	actions := s.Submit(now, owner.Ticket{
 		ID: 99, Ref: ref(1), Arrived: now, StartBy: now.Add(time.Minute), Prompt: 200, MaxWait: 200 * time.Millisecond,
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -213,12 +213,12 @@
 			r.start(w, a)
 		case owner.Refuse:
 			r.refuse(a)
-		case owner.AskPermit:
+		case owner.RequestPermit:
 			r.ask(w, a)
 		case owner.Load:
 			r.load(w, a)
 		case owner.Unload:
-			r.carryOut(w, w.state.Unloaded(r.now, a.Ref, nil))
+			r.carryOut(w, w.state.FinishUnload(r.now, a.Ref, nil))
 		case owner.ReturnPermit:
 			r.permits.Refund()
 			r.grant()
@@ -235,7 +235,7 @@
 		r.account(w)
 		w.running--
 		delete(r.pending, p.id)
-		r.carryOut(w, w.state.Done(r.now, p.id, owner.EndWhole))
+		r.carryOut(w, w.state.FinishTicket(r.now, p.id, owner.EndWhole))
 	})
 }
 
@@ -260,9 +260,9 @@
 	r.out.refused(p, r.now.Sub(a.Ticket.Arrived))
 }
 
-func (r *run) ask(w *worker, a owner.AskPermit) {
+func (r *run) ask(w *worker, a owner.RequestPermit) {
 	if r.policy.Uncoordinated {
-		r.at(r.now, func() { r.carryOut(w, w.state.Granted(r.now, a.Ref)) })
+		r.at(r.now, func() { r.carryOut(w, w.state.PermitGranted(r.now, a.Ref)) })
 		return
 	}
 	r.nextID++
@@ -280,7 +280,7 @@
 		}
 		who := r.asking[n.ID]
 		delete(r.asking, n.ID)
-		r.at(r.now, func() { r.carryOut(who.worker, who.worker.state.Granted(r.now, who.ref)) })
+		r.at(r.now, func() { r.carryOut(who.worker, who.worker.state.PermitGranted(r.now, who.ref)) })
 	}
 	d, ok := r.permits.TimeToNext(r.now)
 	if !ok || d <= 0 || (r.nextGrant.After(r.now) && !r.nextGrant.After(r.now.Add(d))) {
@@ -301,7 +301,7 @@
 	r.at(r.now.Add(took), func() {
 		r.loading--
 		r.permits.Release()
-		r.carryOut(w, w.state.Loaded(r.now, a.Ref, nil))
+		r.carryOut(w, w.state.FinishLoad(r.now, a.Ref, nil))
 		r.grant()
 	})
 }
@@ -321,7 +321,7 @@
 	case TurnRestart:
 		const third = 3
 		for _, w := range slices.Clone(r.workers)[:max(1, len(r.workers)/third)] {
-			r.carryOut(w, w.state.Restarted(r.now))
+			r.carryOut(w, w.state.ResetAfterRestart(r.now))
 		}
 	default:
 	}
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -265,7 +265,7 @@
 	if err != nil {
 		return nil, result.From(err, result.QueueFull)
 	}
-	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.Read, release: g.Release}, nil
+	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.RecordFirstToken, release: g.Release}, nil
 }
 
 // chooseWithoutOwner picks an engine that is listed as holding the adapter version while no owner can be asked.
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -29,7 +29,7 @@
 // be seconds away. The box that counts the requests at a plain endpoint receives the limit when this request ends.
 func (r *Relay) forwardRateToOwner(engine string, word ratelimit.Report) {
 	if runner, ok := r.cfg.Owners.Get(engine); ok {
-		runner.HearRate(word)
+		runner.UpdateRate(word)
 		return
 	}
 	if e, ok := r.cfg.Catalog.Topology().Engines[engine]; ok && e.Owner.Box != "" && e.Owner.Box != r.cfg.Box {
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -27,7 +27,7 @@
 	// Key is the key of the customer, empty if the request has none or more than one.
 	Key string
 	// Parts lists the parts of the prompt in order. Other requests may share all parts except the last one.
-	Parts []owner.Part
+	Parts []owner.PromptPart
 	// LastEvent is the id of the last event that the caller received, if it resumes a broken stream.
 	LastEvent string
 }
