--- a/internal/cli/routed.go
+++ b/internal/cli/routed.go
@@ -45,10 +45,10 @@
 		API: store, Source: store, Wire: platform.Wire{},
 		Engines: platform.NewWorkers(platform.WorkersConfig{Box: s.Box.Name, HTTP: &http.Client{Transport: httpx.NewTransport(maxIdleWorkerConns)}}),
 		NewDirectoryHandler: func(b *box.Routed) http.Handler {
-			return platform.DirectoryHandler(platform.EdgeConfig{Fleet: b, Keep: locateKeep})
+			return platform.DirectoryHandler(platform.EdgeConfig{BoxStatus: b, CacheTTL: locateKeep})
 		},
 		NewReadyHandler: func(b *box.Routed) http.Handler {
-			return platform.ReadyHandler(platform.EdgeConfig{Fleet: b, Keep: locateKeep})
+			return platform.ReadyHandler(platform.EdgeConfig{BoxStatus: b, CacheTTL: locateKeep})
 		},
 	}})
 	if err != nil {
