--- a/internal/box/orders.go
+++ b/internal/box/orders.go
@@ -32,7 +32,7 @@
 	switch {
 	case err == nil:
 		q.quarantine.Ran(load.Fingerprint)
-	case errors.Is(err, engine.ErrBrokenOff):
+	case errors.Is(err, engine.ErrConnectionLost):
 		q.quarantine.BrokenOff(ctx, load, quarantine.Endpoint{Name: to.Name, Address: to.Address})
 	}
 	return err
--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -23,8 +23,8 @@
 
 // Answer is an engine's answer to one call. Its model name and run ID are verified, in a stream for each event with data.
 type Answer struct {
-	// Stream is set if the answer is a stream of server-sent events.
-	Stream   bool
+	// IsStream is set if the answer is a stream of server-sent events.
+	IsStream bool
 	resp     *http.Response
 	reader   *bufio.Reader
 	model    string
@@ -41,8 +41,8 @@
 // NewAnswer returns the answer in resp. Reading from it fails unless the answer is for ref and runID.
 func NewAnswer(resp *http.Response, ref resource.Ref, runID string) *Answer {
 	return &Answer{
-		Stream: strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"),
-		resp:   resp, reader: bufio.NewReader(resp.Body), model: ref.String(), runID: runID,
+		IsStream: strings.HasPrefix(resp.Header.Get("Content-Type"), "text/event-stream"),
+		resp:     resp, reader: bufio.NewReader(resp.Body), model: ref.String(), runID: runID,
 	}
 }
 
@@ -57,8 +57,8 @@
 	_ = a.resp.Body.Close()
 }
 
-// Whole reads and returns the complete answer. It must not be used for a stream.
-func (a *Answer) Whole() ([]byte, error) {
+// ReadAll reads and returns the complete answer. It must not be used for a stream.
+func (a *Answer) ReadAll() ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(a.resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, result.Cut(result.StreamCut, err)
@@ -70,9 +70,9 @@
 	return b, a.checkIdentity(b)
 }
 
-// Next returns the next event of a stream, including its terminating blank line. After the end event it returns io.EOF.
+// NextEvent returns the next event of a stream, including its terminating blank line. After the end event it returns io.EOF.
 // If the stream ends before the end event, it returns a StreamCut error.
-func (a *Answer) Next() ([]byte, error) {
+func (a *Answer) NextEvent() ([]byte, error) {
 	if a.complete {
 		return nil, io.EOF
 	}
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -42,8 +42,8 @@
 	HTTP *http.Client
 }
 
-// Headers names the response headers in which engines and services announce their own state on bellgap's own interface.
-var Headers = notice.HeaderNames{Rate: result.HeaderRate, Leaving: result.HeaderLeaving}
+// NoticeHeaders names the response headers in which engines and services announce their own state on bellgap's own interface.
+var NoticeHeaders = notice.HeaderNames{Rate: result.HeaderRate, Leaving: result.HeaderLeaving}
 
 // Client is an HTTP client for engines.
 type Client struct {
@@ -69,7 +69,7 @@
 	resp, err := c.http.Do(sent.Request)
 	switch {
 	case err != nil && sent.Started() && ctx.Err() == nil:
-		return eris.Wrapf(ErrBrokenOff, "engine: send order: %v", err)
+		return eris.Wrapf(ErrConnectionLost, "engine: send order: %v", err)
 	case err != nil:
 		return eris.Wrap(err, "engine: send order")
 	}
@@ -98,7 +98,7 @@
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxSmallBodyBytes)).Decode(&r); err != nil {
 		return r, eris.Wrap(err, "engine: decode report")
 	}
-	r.Notice = Headers.Read(resp.StatusCode, resp.Header)
+	r.Notice = NoticeHeaders.Read(resp.StatusCode, resp.Header)
 	return r, nil
 }
 
@@ -132,7 +132,7 @@
 	if err != nil {
 		return nil, transportError(ctx, sent.Started(), err)
 	}
-	engineNotice := Headers.Read(resp.StatusCode, resp.Header)
+	engineNotice := NoticeHeaders.Read(resp.StatusCode, resp.Header)
 	if call.Notice != nil {
 		call.Notice(engineNotice)
 	}
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -33,24 +33,24 @@
 	Action  Action `json:"action"`
 	Model   string `json:"model"`
 	Weights string `json:"weights,omitempty"`
-	// Allowed reports whether the order may be sent now. If it is nil, the order may always be sent. A sender must call it before
+	// IsAllowed reports whether the order may be sent now. If it is nil, the order may always be sent. A sender must call it before
 	// each attempt and each poll for completion, as the process may have been suspended in between.
-	Allowed func() bool `json:"-"`
-	// Room is the maximum number of adapters that the engine can hold, or zero if unknown. If other owners have sent orders to
+	IsAllowed func() bool `json:"-"`
+	// MaxAdapters is the maximum number of adapters that the engine can hold, or zero if unknown. If other owners have sent orders to
 	// the engine in the meantime and filled it with adapters, an order to load an adapter is not sent.
-	Room int `json:"-"`
+	MaxAdapters int `json:"-"`
 }
 
 // MaySend reports whether the order may be sent now.
-func (o *Order) MaySend() bool { return o.Allowed == nil || o.Allowed() }
+func (o *Order) MaySend() bool { return o.IsAllowed == nil || o.IsAllowed() }
 
-// ErrAuthorityOver is returned for an order whose sender has lost the right to send it. The engine may have accepted an earlier
+// ErrAuthorityLost is returned for an order whose sender has lost the right to send it. The engine may have accepted an earlier
 // attempt.
-var ErrAuthorityOver = errors.New("engine: authority to send the order lost")
+var ErrAuthorityLost = errors.New("engine: authority to send the order lost")
 
-// ErrBrokenOff is returned if the connection was closed or refused after the engine may have received the order. The engine
+// ErrConnectionLost is returned if the connection was closed or refused after the engine may have received the order. The engine
 // process may have ended.
-var ErrBrokenOff = errors.New("engine: connection lost during an order")
+var ErrConnectionLost = errors.New("engine: connection lost during an order")
 
 // Report is the state that an engine reports about itself. It lags behind the actual state.
 type Report struct {
@@ -62,14 +62,14 @@
 	Loaded []string `json:"loaded"`
 	// BaseModels lists the loaded base models. It is nil if the engine always has its own base model loaded.
 	BaseModels []string `json:"base_models,omitempty"`
-	// AtHand lists the base models of which the engine has a local copy, so that it need not fetch them from the weight store.
-	AtHand []string `json:"at_hand,omitempty"`
+	// LocalBaseModels lists the base models of which the engine has a local copy, so that it need not fetch them from the weight store.
+	LocalBaseModels []string `json:"at_hand,omitempty"`
 	// Running and Waiting are numbers of sequences.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	// Steps is the number of engine steps since the start. Filled is the total number of sequences in these steps.
-	Steps  int64 `json:"steps"`
-	Filled int64 `json:"filled"`
+	Steps         int64 `json:"steps"`
+	StepSequences int64 `json:"filled"`
 	// Notice is the state that the engine announces in the response headers, even if it refuses to send the report. An unset
 	// field means that the engine announced nothing about it.
 	Notice notice.HeaderNotices `json:"-"`
@@ -90,9 +90,9 @@
 	RefusalNotLoaded  = "adapter_not_loaded"
 	RefusalStaleEpoch = "stale_epoch"
 	RefusalLoadFailed = "load_failed"
-	// RefusalNotThere means that the engine does not have the model or adapter of the order, or that another engine now has the
+	// RefusalNotFound means that the engine does not have the model or adapter of the order, or that another engine now has the
 	// address.
-	RefusalNotThere = "not_there"
+	RefusalNotFound = "not_there"
 	RefusalNoSlot   = "no_slot"
 	// RefusalBusy means that the engine currently rejects requests. The response headers may tell for how long.
 	RefusalBusy       = "busy"
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -274,7 +274,7 @@
 	now := time.Now()
 	r := engine.Report{
 		Incarnation: e.incarnation, Epoch: e.epoch, Loaded: []string{}, Running: len(e.batch),
-		Steps: e.steps, Filled: e.filled, TakenAt: now,
+		Steps: e.steps, StepSequences: e.filled, TakenAt: now,
 	}
 	for m := range e.loaded {
 		r.Loaded = append(r.Loaded, m)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -47,7 +47,7 @@
 
 // recordServiceNotice records the rate limit and the notices in the header of a service's answer for the address that answered.
 func (g *Gateway) recordServiceNotice(a netip.AddrPort, resp *http.Response) {
-	now, w := clock.Now(), engine.Headers.Read(resp.StatusCode, resp.Header)
+	now, w := clock.Now(), engine.NoticeHeaders.Read(resp.StatusCode, resp.Header)
 	if w.RateErr != nil {
 		g.cfg.Rates.RecordInvalid(now, a.String(), w.RateErr)
 	} else {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -13,8 +13,8 @@
 // copyAnswer copies a validated answer to the caller. It writes nothing before the first event of a stream or the whole answer is validated.
 // An error before that is sent as the complete answer. A later error ends the stream with an error event.
 func copyAnswer(w http.ResponseWriter, a *engine.Answer) *result.Error {
-	if !a.Stream {
-		b, err := a.Whole()
+	if !a.IsStream {
+		b, err := a.ReadAll()
 		if err != nil {
 			rerr := result.From(err, result.StreamCut)
 			rerr.Write(w, "")
@@ -26,7 +26,7 @@
 		}
 		return nil
 	}
-	first, err := a.Next()
+	first, err := a.NextEvent()
 	if err != nil {
 		rerr := result.From(err, result.StreamCut)
 		rerr.Write(w, "")
@@ -47,7 +47,7 @@
 		// If the flush fails, the next write returns the error.
 		_ = rc.Flush()
 		var err error
-		event, err = a.Next()
+		event, err = a.NextEvent()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
--- a/internal/owner/loading.go
+++ b/internal/owner/loading.go
@@ -106,7 +106,7 @@
 // isNotFound reports whether the order was refused because its target, the adapter or the engine instance, does not exist.
 func isNotFound(err error) bool {
 	var refused *engine.OrderRefusedError
-	return errors.As(err, &refused) && refused.Type == engine.RefusalNotThere
+	return errors.As(err, &refused) && refused.Type == engine.RefusalNotFound
 }
 
 // FinishLoad handles the result of a Load. On failure the waiting tickets are refused and the adapter enters backoff.
--- a/internal/owner/loading_test.go
+++ b/internal/owner/loading_test.go
@@ -86,7 +86,7 @@
 	s.Submit(now, owner.Ticket{ID: 1, Ref: ref(2), Arrived: now, StartBy: now.Add(time.Minute), Last: true})
 	unloads := actionsOf[owner.Unload](s.PermitGranted(now, ref(2)))
 	c.Assert(unloads, qt.HasLen, 1)
-	loads := actionsOf[owner.Load](s.FinishUnload(now, ref(1), &engine.OrderRefusedError{Type: engine.RefusalNotThere}))
+	loads := actionsOf[owner.Load](s.FinishUnload(now, ref(1), &engine.OrderRefusedError{Type: engine.RefusalNotFound}))
 	c.Assert(loads, qt.HasLen, 1)
 	c.Check(loads[0].Ref, qt.Equals, ref(2))
 }
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -31,7 +31,7 @@
 }
 
 func (r *Runner) load(ctx context.Context, l Load, permit loads.Permit) {
-	err := r.sendOrder(ctx, engine.Order{Action: engine.ActionLoad, Model: l.Ref.String(), Weights: l.Weights, Room: r.cfg.Engine.Slots})
+	err := r.sendOrder(ctx, engine.Order{Action: engine.ActionLoad, Model: l.Ref.String(), Weights: l.Weights, MaxAdapters: r.cfg.Engine.Slots})
 	permit(true)
 	r.recordOrder("loads", err)
 	r.post(loadEnded{l.Ref, err})
@@ -75,7 +75,7 @@
 			return errNoAuthority
 		}
 		o.Epoch = epoch
-		o.Allowed = func() bool {
+		o.IsAllowed = func() bool {
 			current, ok := r.cfg.Authority(clock.Now())
 			return ok && current == epoch
 		}
@@ -92,7 +92,7 @@
 // isFinal reports whether an order that failed with err must not be retried.
 func isFinal(err error) bool {
 	var refused *engine.OrderRefusedError
-	return errors.As(err, &refused) || errors.Is(err, engine.ErrAuthorityOver) || errors.Is(err, engine.ErrBrokenOff)
+	return errors.As(err, &refused) || errors.Is(err, engine.ErrAuthorityLost) || errors.Is(err, engine.ErrConnectionLost)
 }
 
 // pollReports requests reports from the engine until ctx ends.
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -42,7 +42,7 @@
 	r.baseMissing = rep.BaseModels != nil && !slices.Contains(rep.BaseModels, r.cfg.Engine.BaseModel)
 	if r.baseMissing {
 		actions = append(actions, r.updateClosed(now)...)
-		if slices.Contains(rep.AtHand, r.cfg.Engine.BaseModel) || !r.cfg.Policy.IsEnabled(policy.BaseOnDemand) {
+		if slices.Contains(rep.LocalBaseModels, r.cfg.Engine.BaseModel) || !r.cfg.Policy.IsEnabled(policy.BaseOnDemand) {
 			actions = append(actions, r.startBaseLoad()...)
 		}
 	}
--- a/internal/owner/runner_test.go
+++ b/internal/owner/runner_test.go
@@ -25,7 +25,7 @@
 // SendOrder refuses orders while the engine is replaced.
 func (e *replacedEngine) SendOrder(context.Context, engine.Target, engine.Order) error {
 	if e.replaced.Load() {
-		return &engine.OrderRefusedError{Type: engine.RefusalNotThere}
+		return &engine.OrderRefusedError{Type: engine.RefusalNotFound}
 	}
 	return nil
 }
