--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -54,8 +54,8 @@
 	return others, here
 }
 
-// Others implements quarantine.Fleet. Leaving boxes serve for a while; silent ones learn what they missed from the cell map.
-func (f *fleet) Others() []netip.AddrPort {
+// OtherBoxes implements quarantine.Fleet. Leaving boxes serve for a while; silent ones learn what they missed from the cell map.
+func (f *fleet) OtherBoxes() []netip.AddrPort {
 	var all []netip.AddrPort
 	for name, m := range f.cfg.Catalog.Topology().Boxes {
 		if name != f.cfg.Box && !m.Silent {
@@ -76,8 +76,8 @@
 	return netip.AddrPort{}, false
 }
 
-// Published implements quarantine.Fleet.
-func (f *fleet) Published() (all []quarantine.Held, changed bool) {
+// PublishedHeld implements quarantine.Fleet.
+func (f *fleet) PublishedHeld() (all []quarantine.Held, changed bool) {
 	t := f.cfg.Catalog.Topology()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,9 +90,9 @@
 func newQuarantine(s settings.Settings, c *catalog.Catalog, scope tally.Scope) *quarantine.Client {
 	return quarantine.NewClient(quarantine.ClientConfig{
 		HTTP:     &http.Client{Transport: httpx.NewTransport(connsPerCase)},
-		Register: quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: s.Quarantine.Endpoints, Hold: s.Quarantine.Hold}),
+		Register: quarantine.NewRegister(quarantine.RegisterConfig{CrashLimit: s.Quarantine.Endpoints, HoldTime: s.Quarantine.Hold}),
 		Fleet:    newFleet(fleetConfig{Catalog: c, Box: s.Box.Name, Cell: s.Box.Cell}),
 		Scope:    scope,
-		Off:      !s.Policy.Chosen().IsEnabled(policy.Quarantine),
+		Disabled: !s.Policy.Chosen().IsEnabled(policy.Quarantine),
 	})
 }
--- a/internal/box/orders.go
+++ b/internal/box/orders.go
@@ -31,9 +31,9 @@
 	err := q.Engines.SendOrder(ctx, to, o)
 	switch {
 	case err == nil:
-		q.quarantine.Ran(load.Fingerprint)
+		q.quarantine.RecordSuccess(load.Fingerprint)
 	case errors.Is(err, engine.ErrConnectionLost):
-		q.quarantine.BrokenOff(ctx, load, quarantine.Endpoint{Name: to.Name, Address: to.Address})
+		q.quarantine.RecordBrokenConnection(ctx, load, quarantine.Endpoint{Name: to.Name, Address: to.Address})
 	}
 	return err
 }
--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -38,7 +38,7 @@
 	// The tabwriter buffers its output; Flush returns write errors.
 	_, _ = fmt.Fprintln(w, "FINGERPRINT\tENDED\tHELD SINCE\tREQUEST")
 	for _, entry := range cases {
-		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", entry.Fingerprint, entry.Count(), heldSince(entry), entry.What)
+		_, _ = fmt.Fprintf(w, "%s\t%d\t%s\t%s\n", entry.Fingerprint, entry.CrashCount(), heldSince(entry), entry.Description)
 	}
 	return w.Flush()
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -181,7 +181,7 @@
 		return nil, rerr
 	}
 	recordOutcome := func(rerr *result.Error) {
-		g.cfg.Quarantine.Settle(ctx, j.suspect, quarantine.Endpoint{Name: grant.Name, Address: grant.Engine.Address, Started: grant.Engine.Started}, rerr)
+		g.cfg.Quarantine.RecordOutcome(ctx, j.suspect, quarantine.Endpoint{Name: grant.Name, Address: grant.Engine.Address, Started: grant.Engine.Started}, rerr)
 	}
 	answer, err := g.cfg.Engines.Run(ctx, engine.Call{
 		Address: grant.Engine.Address, Path: j.path, Ref: j.ref, RunID: j.runID, Urgency: strconv.Itoa(j.urgency), Body: j.body,
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -72,7 +72,7 @@
 		return
 	}
 	rerr = g.copyServiceAnswer(w, resp, requestID)
-	g.cfg.Quarantine.Settle(ctx, c.suspect, endpoint, rerr)
+	g.cfg.Quarantine.RecordOutcome(ctx, c.suspect, endpoint, rerr)
 	if rerr != nil {
 		// Aborting the connection shows the caller that the answer is incomplete.
 		panic(http.ErrAbortHandler)
@@ -167,7 +167,7 @@
 		if rerr == nil {
 			return resp, endpoint, nil
 		}
-		g.cfg.Quarantine.Settle(ctx, c.suspect, endpoint, rerr)
+		g.cfg.Quarantine.RecordOutcome(ctx, c.suspect, endpoint, rerr)
 		mayHaveRun = mayHaveRun || rerr.Code.Info().Ran != result.RanNo
 		lastErr = rerr.After(mayHaveRun)
 		if !canTryElsewhere(rerr, c.repeatable) {
--- a/internal/quarantine/case.go
+++ b/internal/quarantine/case.go
@@ -16,8 +16,8 @@
 // repeatedly.
 type Case struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	// What describes the request for operators: method, host, path and customer.
-	What string `json:"what"`
+	// Description describes the request for operators: method, host, path and customer.
+	Description string `json:"what"`
 	// Crashed lists the endpoints that crashed while they ran the request, each with its start time, in sorted order.
 	Crashed []string `json:"ended"`
 	// Cleared lists the entries of Crashed that no longer count: the request has run successfully since, an operator released it,
@@ -37,8 +37,8 @@
 	Since   int64  `json:"since,omitempty"`
 }
 
-// Count returns the number of crashed endpoints that count against the request.
-func (c Case) Count() int { return len(c.countedCrashes()) }
+// CrashCount returns the number of crashed endpoints that count against the request.
+func (c Case) CrashCount() int { return len(c.countedCrashes()) }
 
 // countedCrashes returns the crashed endpoints that have not been cleared.
 func (c Case) countedCrashes() []string {
@@ -49,8 +49,8 @@
 func (c Case) merge(other Case) (merged Case, grew bool) {
 	merged = c
 	merged.Crashed, merged.Cleared = union(c.Crashed, other.Crashed), union(c.Cleared, other.Cleared)
-	if merged.What == "" {
-		merged.What = other.What
+	if merged.Description == "" {
+		merged.Description = other.Description
 	}
 	if merged.Since == 0 || (other.Since != 0 && other.Since < merged.Since) {
 		merged.Since = other.Since
@@ -67,7 +67,7 @@
 // toHeld returns the entry of the case for a cell map.
 func (c Case) toHeld() Held {
 	return Held{
-		Fingerprint: c.Fingerprint, Description: c.What,
+		Fingerprint: c.Fingerprint, Description: c.Description,
 		Crashed: strings.Join(c.countedCrashes(), incarnationSeparator), Since: c.Since,
 	}
 }
@@ -75,7 +75,7 @@
 // toCase returns the case that an entry of a cell map describes.
 func (h Held) toCase() Case {
 	return Case{
-		Fingerprint: h.Fingerprint, What: h.Description,
+		Fingerprint: h.Fingerprint, Description: h.Description,
 		Crashed: strings.Split(h.Crashed, incarnationSeparator), Since: h.Since,
 	}
 }
--- a/internal/quarantine/client.go
+++ b/internal/quarantine/client.go
@@ -54,13 +54,13 @@
 type Fleet interface {
 	// Keepers returns the other boxes that keep the case of a fingerprint, and whether this box also keeps it.
 	Keepers(f Fingerprint) (others []netip.AddrPort, here bool)
-	// Others returns the addresses of all other boxes that can be called.
-	Others() []netip.AddrPort
+	// OtherBoxes returns the addresses of all other boxes that can be called.
+	OtherBoxes() []netip.AddrPort
 	// Coordinator returns the address of the box that publishes the cell map. It returns false if this box publishes it or none
 	// is known.
 	Coordinator() (netip.AddrPort, bool)
-	// Published returns the held requests in the newest cell maps, and whether the maps have changed since the last call.
-	Published() (all []Held, changed bool)
+	// PublishedHeld returns the held requests in the newest cell maps, and whether the maps have changed since the last call.
+	PublishedHeld() (all []Held, changed bool)
 }
 
 // ClientConfig configures a Client.
@@ -69,8 +69,8 @@
 	Register *Register
 	Fleet    Fleet
 	Scope    tally.Scope
-	// Off disables the quarantine: no request is held and no crash is counted.
-	Off bool
+	// Disabled disables the quarantine: no request is held and no crash is counted.
+	Disabled bool
 }
 
 // Client counts, together with the other boxes, the endpoints that crash while they run a request. A hash selects two boxes that
@@ -101,7 +101,7 @@
 
 // CheckHeld reports whether a request is held, and why.
 func (c *Client) CheckHeld(f Fingerprint) (v Verdict, held bool) {
-	if c.cfg.Off {
+	if c.cfg.Disabled {
 		return v, false
 	}
 	c.applyPublishedMaps()
@@ -132,7 +132,7 @@
 func (c *Client) applyPublishedMaps() {
 	c.mapsMu.Lock()
 	defer c.mapsMu.Unlock()
-	if all, changed := c.cfg.Fleet.Published(); changed {
+	if all, changed := c.cfg.Fleet.PublishedHeld(); changed {
 		c.cfg.Register.ApplyPublished(clock.Now(), all)
 	}
 }
@@ -142,12 +142,12 @@
 // it gets the error.
 func (c *Client) RecordCrash(ctx context.Context, s Suspect, e Endpoint) {
 	merged, grew := c.cfg.Register.RecordCrash(clock.Now(), s, e)
-	if !grew || merged.Count() == 0 {
+	if !grew || merged.CrashCount() == 0 {
 		return
 	}
 	c.cfg.Scope.Counter("quarantine_endpoints_ended").Inc(1)
 	klog.InfoS("endpoint crashed while it ran the request", "fingerprint", s.Fingerprint,
-		"request", s.Description, "endpoint", e.Name, "ended", merged.Count())
+		"request", s.Description, "endpoint", e.Name, "ended", merged.CrashCount())
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), reportTimeout)
 	defer cancel()
 	others, here := c.cfg.Fleet.Keepers(s.Fingerprint)
@@ -158,9 +158,9 @@
 	}
 }
 
-// Ran records that an endpoint sent a complete answer to a request, and so did not crash while it ran the request.
-func (c *Client) Ran(f Fingerprint) {
-	if c.cfg.Off {
+// RecordSuccess records that an endpoint sent a complete answer to a request, and so did not crash while it ran the request.
+func (c *Client) RecordSuccess(f Fingerprint) {
+	if c.cfg.Disabled {
 		return
 	}
 	cleared, ok := c.cfg.Register.RecordSuccess(clock.Now(), f)
@@ -176,10 +176,10 @@
 	}
 }
 
-// RanWell reports whether a request recently ran successfully through this box, and so is not suspected of crashing endpoints. It
+// RanSuccessfully reports whether a request recently ran successfully through this box, and so is not suspected of crashing endpoints. It
 // returns true if the quarantine is off.
-func (c *Client) RanWell(f Fingerprint) bool {
-	return c.cfg.Off || c.cfg.Register.RanSuccessfully(clock.Now(), f)
+func (c *Client) RanSuccessfully(f Fingerprint) bool {
+	return c.cfg.Disabled || c.cfg.Register.RanSuccessfully(clock.Now(), f)
 }
 
 // Release clears the crashes of a request on all boxes, so that it is no longer held. It returns false if no crash counted
@@ -190,10 +190,10 @@
 	if !ok {
 		return false
 	}
-	klog.InfoS("quarantined request released by an operator", "fingerprint", f, "request", cleared.What)
+	klog.InfoS("quarantined request released by an operator", "fingerprint", f, "request", cleared.Description)
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	c.send(ctx, c.cfg.Fleet.Others(), pathNotify, []Case{cleared})
+	c.send(ctx, c.cfg.Fleet.OtherBoxes(), pathNotify, []Case{cleared})
 	return true
 }
 
@@ -235,7 +235,7 @@
 	if len(due) == 0 {
 		return
 	}
-	c.send(ctx, c.cfg.Fleet.Others(), pathNotify, due)
+	c.send(ctx, c.cfg.Fleet.OtherBoxes(), pathNotify, due)
 	var cleared []Case
 	for i, current := range c.mergedState(due) {
 		if len(current.Cleared) > len(due[i].Cleared) {
@@ -243,7 +243,7 @@
 		}
 	}
 	if len(cleared) > 0 {
-		c.send(ctx, c.cfg.Fleet.Others(), pathNotify, cleared)
+		c.send(ctx, c.cfg.Fleet.OtherBoxes(), pathNotify, cleared)
 	}
 }
 
--- a/internal/quarantine/client_test.go
+++ b/internal/quarantine/client_test.go
@@ -154,7 +154,7 @@
 	return others, here
 }
 
-func (b *member) Others() []netip.AddrPort {
+func (b *member) OtherBoxes() []netip.AddrPort {
 	var all []netip.AddrPort
 	for _, name := range b.fleet.boxNames() {
 		if name != b.name {
@@ -169,7 +169,7 @@
 	return b.fleet.box(first).address, first != b.name
 }
 
-func (b *member) Published() (all []quarantine.Held, changed bool) {
+func (b *member) PublishedHeld() (all []quarantine.Held, changed bool) {
 	b.fleet.mu.Lock()
 	defer b.fleet.mu.Unlock()
 	if b.mapBlocked || b.seenWrites == b.fleet.mapWrites {
@@ -300,7 +300,7 @@
 	w := startFleet(c, allNames...)
 	w.crashEndpoint("a", 1, "x/1")
 	w.crashEndpoint("b", 1, "y/1")
-	w.box("c").Ran(fingerprintOf(1))
+	w.box("c").RecordSuccess(fingerprintOf(1))
 	waitUntil(c, func() bool {
 		for _, name := range allNames {
 			if len(w.box(name).Cases()) > 0 {
@@ -318,7 +318,7 @@
 func TestSuccessElsewhereReleasesRequest(t *testing.T) {
 	c := qt.New(t)
 	w := startFleet(c, allNames...)
-	w.box("g").Ran(fingerprintOf(1))
+	w.box("g").RecordSuccess(fingerprintOf(1))
 	var group errgroup.Group
 	for i, name := range allNames[:3] {
 		group.Go(func() error { w.crashEndpoint(name, 1, fmt.Sprint("x", i)); return nil })
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -72,21 +72,21 @@
 	return outcome
 }
 
-// Settle records the outcome of a request at an endpoint. rerr is nil after a complete answer. If the endpoint crashed, Settle
+// RecordOutcome records the outcome of a request at an endpoint. rerr is nil after a complete answer. If the endpoint crashed, Settle
 // returns when RecordCrash does.
-func (c *Client) Settle(ctx context.Context, s Suspect, e Endpoint, rerr *result.Error) {
+func (c *Client) RecordOutcome(ctx context.Context, s Suspect, e Endpoint, rerr *result.Error) {
 	switch {
 	case rerr == nil:
-		c.Ran(s.Fingerprint)
+		c.RecordSuccess(s.Fingerprint)
 	case rerr.BrokenOff:
-		c.BrokenOff(ctx, s, e)
+		c.RecordBrokenConnection(ctx, s, e)
 	}
 }
 
-// BrokenOff records that the connection on which an endpoint ran a request broke. If a probe shows that the endpoint has crashed,
+// RecordBrokenConnection records that the connection on which an endpoint ran a request broke. If a probe shows that the endpoint has crashed,
 // the crash counts against the request, and BrokenOff returns when RecordCrash does.
-func (c *Client) BrokenOff(ctx context.Context, s Suspect, e Endpoint) {
-	if c.cfg.Off {
+func (c *Client) RecordBrokenConnection(ctx context.Context, s Suspect, e Endpoint) {
+	if c.cfg.Disabled {
 		return
 	}
 	outcome := c.probe(ctx, e.Address)
--- a/internal/quarantine/register.go
+++ b/internal/quarantine/register.go
@@ -26,10 +26,10 @@
 
 // RegisterConfig configures a Register.
 type RegisterConfig struct {
-	// Endpoints is the number of endpoints that must crash while they run a request before it is held.
-	Endpoints int
-	// Hold is how long a request is held, and how long a crash counts.
-	Hold time.Duration
+	// CrashLimit is the number of endpoints that must crash while they run a request before it is held.
+	CrashLimit int
+	// HoldTime is how long a request is held, and how long a crash counts.
+	HoldTime time.Duration
 }
 
 // Register stores the cases that one box knows, for requests whose endpoints crashed while they ran them. It does no I/O.
@@ -65,7 +65,7 @@
 	if e.Case, grew = e.merge(update); grew {
 		e.updatedAt = now
 	}
-	if e.Count() > 0 && r.successes.Has(update.Fingerprint, now) {
+	if e.CrashCount() > 0 && r.successes.Has(update.Fingerprint, now) {
 		e.Case = e.withAllCleared()
 		grew = true
 	}
@@ -76,7 +76,7 @@
 // RecordCrash records that an endpoint crashed while it ran a request. It returns the merged case, and whether it contains more
 // than before.
 func (r *Register) RecordCrash(now time.Time, s Suspect, e Endpoint) (merged Case, grew bool) {
-	return r.Merge(now, Case{Fingerprint: s.Fingerprint, What: s.Description, Crashed: []string{r.incarnationOf(now, s.Fingerprint, e)}})
+	return r.Merge(now, Case{Fingerprint: s.Fingerprint, Description: s.Description, Crashed: []string{r.incarnationOf(now, s.Fingerprint, e)}})
 }
 
 // incarnationOf returns the name of the incarnation of an endpoint that has crashed. If the endpoint does not report its start
@@ -114,7 +114,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.cases[f]
-	if e == nil || e.Count() == 0 {
+	if e == nil || e.CrashCount() == 0 {
 		return Case{}, false
 	}
 	e.Case, e.updatedAt = e.withAllCleared(), now
@@ -138,11 +138,11 @@
 	if e == nil || e.heldAt.IsZero() {
 		return v, false
 	}
-	remaining := r.cfg.Hold - now.Sub(e.heldAt)
+	remaining := r.cfg.HoldTime - now.Sub(e.heldAt)
 	if remaining <= 0 && !e.published {
 		return v, false
 	}
-	return Verdict{Crashes: e.Count(), MaxWait: max(remaining, time.Second)}, true
+	return Verdict{Crashes: e.CrashCount(), MaxWait: max(remaining, time.Second)}, true
 }
 
 // ApplyPublished applies the held requests of the newest cell maps. It clears requests that are in earlier maps only, because an
@@ -172,7 +172,7 @@
 	defer r.mu.Unlock()
 	var all []Held
 	for _, e := range r.cases {
-		if !e.heldAt.IsZero() && now.Sub(e.heldAt) < r.cfg.Hold {
+		if !e.heldAt.IsZero() && now.Sub(e.heldAt) < r.cfg.HoldTime {
 			all = append(all, e.toHeld())
 		}
 	}
@@ -202,12 +202,12 @@
 	defer r.mu.Unlock()
 	var all []Case
 	for _, e := range r.cases {
-		if e.Count() > 0 {
+		if e.CrashCount() > 0 {
 			all = append(all, e.Case)
 		}
 	}
 	slices.SortFunc(all, func(a, b Case) int {
-		return cmp.Or(cmp.Compare(b.Count(), a.Count()), bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]))
+		return cmp.Or(cmp.Compare(b.CrashCount(), a.CrashCount()), bytes.Compare(a.Fingerprint[:], b.Fingerprint[:]))
 	})
 	return all
 }
@@ -217,7 +217,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for f, e := range r.cases {
-		if !e.published && now.Sub(e.updatedAt) >= r.cfg.Hold {
+		if !e.published && now.Sub(e.updatedAt) >= r.cfg.HoldTime {
 			delete(r.cases, f)
 		}
 	}
@@ -226,7 +226,7 @@
 // updateHeld sets or resets the hold of a case by the number of its crashes.
 func (r *Register) updateHeld(now time.Time, e *entry) {
 	switch {
-	case e.Count() < r.cfg.Endpoints:
+	case e.CrashCount() < r.cfg.CrashLimit:
 		e.heldAt = time.Time{}
 	case e.heldAt.IsZero():
 		e.heldAt = now
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -23,7 +23,7 @@
 var startTime = time.Unix(1_800_000_000, 0)
 
 func newRegister() *quarantine.Register {
-	return quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: crashLimit, Hold: holdTime})
+	return quarantine.NewRegister(quarantine.RegisterConfig{CrashLimit: crashLimit, HoldTime: holdTime})
 }
 
 // fingerprintOf returns the fingerprint of the request with a number.
@@ -38,7 +38,7 @@
 
 // crashCase returns the case of a request with the endpoints that crashed while they ran it.
 func crashCase(n int, incarnations ...string) quarantine.Case {
-	return quarantine.Case{Fingerprint: fingerprintOf(n), What: "POST h/x", Crashed: incarnations}
+	return quarantine.Case{Fingerprint: fingerprintOf(n), Description: "POST h/x", Crashed: incarnations}
 }
 
 func TestRequestIsHeldAtCrashLimit(t *testing.T) {
@@ -101,7 +101,7 @@
 		{"since", func(r *quarantine.Register) {
 			r.Merge(startTime, crashCase(1, "a", "b"))
 			cleared, ok := r.RecordSuccess(startTime.Add(time.Second), fingerprintOf(1))
-			if !ok || cleared.Count() != 0 {
+			if !ok || cleared.CrashCount() != 0 {
 				panic("no crash was cleared")
 			}
 			r.Merge(startTime.Add(2*time.Second), crashCase(1, "a", "b"))
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -113,7 +113,7 @@
 		Endpoints: &http.Client{Transport: httpx.NewTransport(2)}, Budget: BudgetConfig{Allowance: 10, Boxes: func() int { return 1 }},
 		Leaving: func() time.Duration { return 0 }, StoreAge: func() time.Duration { return 0 },
 		Quarantine: quarantine.NewClient(quarantine.ClientConfig{
-			Register: quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: 3, Hold: time.Minute}), Fleet: soleBoxFleet{}, Scope: tally.NoopScope,
+			Register: quarantine.NewRegister(quarantine.RegisterConfig{CrashLimit: 3, HoldTime: time.Minute}), Fleet: soleBoxFleet{}, Scope: tally.NoopScope,
 		}),
 	})
 	return w
@@ -126,11 +126,11 @@
 	return nil, true
 }
 
-func (soleBoxFleet) Others() []netip.AddrPort { return nil }
+func (soleBoxFleet) OtherBoxes() []netip.AddrPort { return nil }
 
 func (soleBoxFleet) Coordinator() (netip.AddrPort, bool) { return netip.AddrPort{}, false }
 
-func (soleBoxFleet) Published() (all []quarantine.Held, changed bool) { return nil, false }
+func (soleBoxFleet) PublishedHeld() (all []quarantine.Held, changed bool) { return nil, false }
 
 // sendRequest sends one request through the relay and returns the answer.
 func (w *twoEngines) sendRequest() *httptest.ResponseRecorder {
--- a/internal/relay/firstrequests.go
+++ b/internal/relay/firstrequests.go
@@ -92,7 +92,7 @@
 		if rerr := r.checkQuarantine(q); rerr != nil {
 			return noop, rerr
 		}
-		if r.cfg.Quarantine.RanWell(q.suspect.Fingerprint) {
+		if r.cfg.Quarantine.RanSuccessfully(q.suspect.Fingerprint) {
 			return noop, nil
 		}
 		current, started := r.firstRequests.joinOrStart(q.suspect.Fingerprint)
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -200,7 +200,7 @@
 // that may crash their endpoint reach only one. It returns an empty string if there is none, or if such a request has
 // already run well.
 func (r *Relay) endpointOfFirst(q *request) string {
-	if r.cfg.Quarantine.RanWell(q.suspect.Fingerprint) {
+	if r.cfg.Quarantine.RanSuccessfully(q.suspect.Fingerprint) {
 		return ""
 	}
 	return r.firstRequests.endpointOf(q.suspect.Fingerprint)
--- a/internal/relay/quarantine.go
+++ b/internal/relay/quarantine.go
@@ -11,7 +11,7 @@
 // after all boxes that must know it have been notified. Otherwise the next try of this box or of the caller could
 // reach a box that has not been notified.
 func (r *Relay) reportOutcome(ctx context.Context, q *request, to destination, rerr *result.Error) {
-	r.cfg.Quarantine.Settle(ctx, q.suspect, quarantine.Endpoint{Name: to.name, Address: to.address, Started: to.started}, rerr)
+	r.cfg.Quarantine.RecordOutcome(ctx, q.suspect, quarantine.Endpoint{Name: to.name, Address: to.address, Started: to.started}, rerr)
 }
 
 // checkQuarantine returns an error if the request is held in quarantine.
