--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -243,15 +243,15 @@
 	b.relay = relay.New(relay.Config{
 		Box: s.Box.Name, Zone: s.Box.Zone, Catalog: b.catalog, Owners: b.owners, Grants: grants, Wire: b.cfg.Deployment.Wire, Scope: b.metrics.Scope,
 		Endpoints: &http.Client{Transport: httpx.NewTransport(connsPerEngine), CheckRedirect: noRedirect},
-		Budget:    relay.BudgetConfig{PerRequest: s.Routes.RetryRatio, Allowance: s.Routes.RetryAllowance, Boxes: b.boxes},
+		Budget:    relay.BudgetConfig{RetriesPerRequest: s.Routes.RetryRatio, Allowance: s.Routes.RetryAllowance, Boxes: b.boxes},
 		Policy:    s.Policy.Chosen(),
 		Quotas:    quota.NewClient(quota.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Accountable: b.accountable, Ledger: b.ledger, Scope: b.metrics.Scope}),
 		Places:    b.places, Quarantine: b.quarantine, Rates: b.rates, Notices: b.notices,
-		Ages: relay.AgesConfig{
+		AgeLimits: relay.ConfigAgeLimits{
 			ConfirmedAt: func() time.Time { return b.follower.ConfirmedAt(string(resource.KindRouting)) },
-			Keys:        s.Customers.RevokedWithin, Unknown: s.Customers.InForceWithin,
+			MaxForKeys:  s.Customers.RevokedWithin, MaxForUnknown: s.Customers.InForceWithin,
 		},
-		StoreAge: b.follower.StoreAge, Leaving: b.leavingFor, Closed: b.closed.Load, LastStream: s.Timing.LastStream, LastRequest: max(0, s.Timing.Leave-lastRefusal),
+		StoreAge: b.follower.StoreAge, Leaving: b.leavingFor, Closing: b.closed.Load, LastStream: s.Timing.LastStream, LastRequest: max(0, s.Timing.Leave-lastRefusal),
 	})
 }
 
--- a/internal/relay/bench_test.go
+++ b/internal/relay/bench_test.go
@@ -38,8 +38,8 @@
 			rt.Open = open
 			now := time.Now()
 			r := New(Config{
-				Ages:   AgesConfig{Keys: time.Hour, ConfirmedAt: func() time.Time { return now }},
-				Quotas: quota.NewClient(quota.ClientConfig{Accountable: soleBoxCell{}, Ledger: quota.NewLedger(quota.LedgerConfig{}), Scope: tally.NoopScope}),
+				AgeLimits: ConfigAgeLimits{MaxForKeys: time.Hour, ConfirmedAt: func() time.Time { return now }},
+				Quotas:    quota.NewClient(quota.ClientConfig{Accountable: soleBoxCell{}, Ledger: quota.NewLedger(quota.LedgerConfig{}), Scope: tally.NoopScope}),
 			})
 			in, err := http.NewRequestWithContext(b.Context(), http.MethodPost, "http://h/x", nil)
 			if err != nil {
@@ -47,7 +47,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				q := &request{receivedAt: now, incoming: in, route: rt, head: Head{Key: "key-7", Prompt: 1460, Output: 80, Counted: true}}
+				q := &request{receivedAt: now, incoming: in, route: rt, head: Head{Key: "key-7", Prompt: 1460, Output: 80, HasTokenCounts: true}}
 				if rerr := r.identifyCustomer(q, table); rerr != nil {
 					b.Fatal(rerr)
 				}
--- a/internal/relay/budget.go
+++ b/internal/relay/budget.go
@@ -5,8 +5,8 @@
 // BudgetConfig limits the retries that all boxes send to a service. Each arrival of a request at an endpoint after
 // its first one counts as a retry.
 type BudgetConfig struct {
-	// PerRequest is the fraction of a retry that each request adds to the budget.
-	PerRequest float64
+	// RetriesPerRequest is the fraction of a retry that each request adds to the budget.
+	RetriesPerRequest float64
 	// Allowance is the number of additional retries that all boxes together may send within a window.
 	Allowance float64
 	// Boxes returns the number of boxes that share the allowance.
@@ -39,7 +39,7 @@
 	if !known {
 		balance = b.maxTokens()
 	}
-	b.tokens[service] = min(balance+budgetSafetyFactor*b.cfg.PerRequest, b.maxTokens())
+	b.tokens[service] = min(balance+budgetSafetyFactor*b.cfg.RetriesPerRequest, b.maxTokens())
 }
 
 // spend takes one retry from the budget of a service. It reports whether one was available.
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -37,7 +37,7 @@
 }
 func (plainWire) WriteAttempt(http.Header, Attempt) {}
 func (plainWire) ReadAnswer(int, http.Header) AnswerHead {
-	return AnswerHead{ID: "id", Sealed: true}
+	return AnswerHead{ID: "id", Signed: true}
 }
 func (plainWire) WriteRetryAfter(http.Header, time.Duration) {}
 func (plainWire) EventID([]byte) string                      { return "" }
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -127,15 +127,15 @@
 // checkAnswer returns an error if an answer is a refusal or does not belong to this request.
 func checkAnswer(q *request, status int, head AnswerHead) *result.Error {
 	switch {
-	case head.Elsewhere:
+	case head.Misdirected:
 		return result.New(result.NotHeld, "status %d", status)
 	case head.NotRun:
 		return result.New(result.BackendRefused, "status %d", status)
-	case impliesNotRun(status) && !head.Sealed:
+	case impliesNotRun(status) && !head.Signed:
 		return result.New(result.AnswerLost, "status %d does not show whether the request ran", status)
 	case head.ID != q.head.ID:
 		return result.New(result.WrongAnswer, "request has id %q, answer has id %q", q.head.ID, head.ID)
-	case !head.Sealed && status < http.StatusMultipleChoices:
+	case !head.Signed && status < http.StatusMultipleChoices:
 		return result.New(result.WrongAnswer, "status %d without a signature", status)
 	}
 	return nil
--- a/internal/relay/identify.go
+++ b/internal/relay/identify.go
@@ -8,15 +8,15 @@
 	"github.com/bellgap/bellgap/internal/route"
 )
 
-// AgesConfig limits the age of the configuration on which a box may base its decisions.
-type AgesConfig struct {
+// ConfigAgeLimits limits the age of the configuration on which a box may base its decisions.
+type ConfigAgeLimits struct {
 	// ConfirmedAt returns the time up to which this box's configuration is known to be current, zero if it has none.
 	ConfirmedAt func() time.Time
-	// Keys is the maximum age for requests that need a key, which may have been revoked since. Zero sets no limit.
-	Keys time.Duration
-	// Unknown is the maximum age for answers that a route or key is unknown, since it may have been added. Zero sets no
+	// MaxForKeys is the maximum age for requests that need a key, which may have been revoked since. Zero sets no limit.
+	MaxForKeys time.Duration
+	// MaxForUnknown is the maximum age for answers that a route or key is unknown, since it may have been added. Zero sets no
 	// limit.
-	Unknown time.Duration
+	MaxForUnknown time.Duration
 }
 
 // staleRetryAfter is the retry delay for callers that get no definite answer because the configuration is too old.
@@ -26,7 +26,7 @@
 // configAge returns how old the configuration was when the request arrived. The time that a request waits afterwards
 // does not count.
 func (r *Relay) configAge(q *request) time.Duration {
-	at := r.cfg.Ages.ConfirmedAt()
+	at := r.cfg.AgeLimits.ConfirmedAt()
 	if at.IsZero() {
 		return time.Duration(1<<63 - 1)
 	}
@@ -36,7 +36,7 @@
 // refuseUnknown returns rerr, which states that a route or key is unknown. If the configuration is too old to be
 // sure, it returns an error that states this instead.
 func (r *Relay) refuseUnknown(q *request, rerr *result.Error) *result.Error {
-	if r.cfg.Ages.Unknown == 0 || r.configAge(q) <= r.cfg.Ages.Unknown {
+	if r.cfg.AgeLimits.MaxForUnknown == 0 || r.configAge(q) <= r.cfg.AgeLimits.MaxForUnknown {
 		return rerr
 	}
 	return r.staleConfigError(q, rerr.Detail)
@@ -69,7 +69,7 @@
 		return r.refuseUnknown(q, result.New(result.Unauthorized, "no customer has this key"))
 	}
 	q.customer = found
-	if r.cfg.Ages.Keys > 0 && r.configAge(q) > r.cfg.Ages.Keys {
+	if r.cfg.AgeLimits.MaxForKeys > 0 && r.configAge(q) > r.cfg.AgeLimits.MaxForKeys {
 		return r.staleConfigError(q, "keys")
 	}
 	return nil
@@ -104,7 +104,7 @@
 	if q.customer == nil {
 		return nil
 	}
-	units := q.customer.Quota.Cost(q.head.Prompt+q.head.Output, q.head.Counted)
+	units := q.customer.Quota.Cost(q.head.Prompt+q.head.Output, q.head.HasTokenCounts)
 	if rerr := r.cfg.Quotas.Take(q.incoming.Context(), q.customer, units); rerr != nil {
 		return rerr
 	}
--- a/internal/relay/identify_test.go
+++ b/internal/relay/identify_test.go
@@ -49,7 +49,7 @@
 			c := qt.New(t)
 			cat := catalog.New()
 			putObject(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyedRouting(map[string]string{"k1": "mill"}))
-			r := New(Config{Catalog: cat, Ages: AgesConfig{Keys: keysFor, Unknown: unknownFor, ConfirmedAt: func() time.Time {
+			r := New(Config{Catalog: cat, AgeLimits: ConfigAgeLimits{MaxForKeys: keysFor, MaxForUnknown: unknownFor, ConfirmedAt: func() time.Time {
 				if test.neverConfirmed {
 					return time.Time{}
 				}
@@ -87,7 +87,7 @@
 			c := qt.New(t)
 			cat := catalog.New()
 			putObject(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyedRouting(map[string]string{"k1": "mill"}))
-			r := New(Config{Catalog: cat, Ages: AgesConfig{ConfirmedAt: time.Now}})
+			r := New(Config{Catalog: cat, AgeLimits: ConfigAgeLimits{ConfirmedAt: time.Now}})
 			table := cat.Topology().Routes
 			route, _ := table.Lookup("h", "/x")
 			q := &request{receivedAt: time.Now(), route: route, head: Head{Key: "k1"}}
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -28,7 +28,7 @@
 // isFromDestination reports whether an answer comes from the endpoint that the request was sent to. Answers from another
 // endpoint at its address, surplus answers, and answers from proxies in between say nothing about the endpoint.
 func isFromDestination(q *request, to destination, head AnswerHead) bool {
-	if head.Elsewhere {
+	if head.Misdirected {
 		return head.Instance == to.name
 	}
 	return head.ID != "" && head.ID == q.head.ID
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -26,9 +26,9 @@
 		{"answer to another request", "r1", AnswerHead{ID: "r0"}, false},
 		{"answer of a proxy, without an id", "r1", AnswerHead{}, false},
 		{"request without an id", "", AnswerHead{}, false},
-		{"421 without an instance id", "r1", AnswerHead{ID: "r1", Elsewhere: true, NotRun: true}, false},
-		{"421 of another instance", "r1", AnswerHead{ID: "r1", Elsewhere: true, NotRun: true, Instance: "i-2"}, false},
-		{"421 of the requested instance, which lacks the version", "r1", AnswerHead{ID: "r1", Elsewhere: true, NotRun: true, Instance: "i-1"}, true},
+		{"421 without an instance id", "r1", AnswerHead{ID: "r1", Misdirected: true, NotRun: true}, false},
+		{"421 of another instance", "r1", AnswerHead{ID: "r1", Misdirected: true, NotRun: true, Instance: "i-2"}, false},
+		{"421 of the requested instance, which lacks the version", "r1", AnswerHead{ID: "r1", Misdirected: true, NotRun: true, Instance: "i-1"}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -47,7 +47,7 @@
 	r := New(Config{Rates: rates, Notices: board, Scope: tally.NoopScope})
 	word := notice.HeaderNotices{Rate: ratelimit.Report{Limited: true}, Leaving: true, RetryAfter: time.Minute}
 	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r0", Notice: word}, false)
-	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r1", Elsewhere: true, Notice: word}, false)
+	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r1", Misdirected: true, Notice: word}, false)
 	c.Check(rates.Limits(clock.Now()), qt.HasLen, 0)
 	c.Check(board.LeavingEndpoints(clock.Now()), qt.HasLen, 0)
 	c.Check(board.PausedEndpoints(clock.Now()), qt.HasLen, 0)
--- a/internal/relay/parts_test.go
+++ b/internal/relay/parts_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBudgets(BudgetConfig{PerRequest: 0.2, Allowance: 50, Boxes: func() int { return tt.boxes }})
+			b := newBudgets(BudgetConfig{RetriesPerRequest: 0.2, Allowance: 50, Boxes: func() int { return tt.boxes }})
 			b.earn("s")
 			for range tt.requests {
 				b.earn("s")
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -58,17 +58,17 @@
 	Leaving     func() time.Duration
 	LastStream  time.Duration
 	LastRequest time.Duration
-	// Closed reports whether this box is about to close its connections. It then accepts no more requests, so that none
+	// Closing reports whether this box is about to close its connections. It then accepts no more requests, so that none
 	// is in flight when the connections close.
-	Closed func() bool
-	Policy policy.Policy
+	Closing func() bool
+	Policy  policy.Policy
 	// StoreAge returns the time since the store last answered this box.
 	StoreAge func() time.Duration
 	// Quotas charges the units of requests to the quotas of their customers.
 	Quotas *quota.Client
 	// Places counts the requests that all boxes have in flight at the endpoints of plain services.
-	Places *places.Client
-	Ages   AgesConfig
+	Places    *places.Client
+	AgeLimits ConfigAgeLimits
 	// Quarantine identifies the requests that are sent to no endpoint because endpoints crashed while running them.
 	Quarantine *quarantine.Client
 	// Rates holds the request rates, in requests per second, that endpoints reported as their limits.
@@ -207,7 +207,7 @@
 	if q.route.Kind == resource.RouteStream {
 		acceptFor = r.cfg.LastStream
 	}
-	if leavingFor < acceptFor && !r.cfg.Closed() {
+	if leavingFor < acceptFor && !r.cfg.Closing() {
 		return nil
 	}
 	rerr := result.New(result.Leaving, "%s", r.cfg.Box)
--- a/internal/relay/wire.go
+++ b/internal/relay/wire.go
@@ -22,8 +22,8 @@
 	Prompt     int
 	Output     int
 	OutputHint int
-	// Counted is set if the caller sent Prompt and Output.
-	Counted bool
+	// HasTokenCounts is set if the caller sent Prompt and Output.
+	HasTokenCounts bool
 	// Key is the key of the customer, empty if the request has none or more than one.
 	Key string
 	// Parts lists the parts of the prompt in order. Other requests may share all parts except the last one.
@@ -62,12 +62,12 @@
 type AnswerHead struct {
 	// ID is the id of the request that the answer belongs to.
 	ID string
-	// Sealed is set if the answer carries the endpoint's signature.
-	Sealed bool
+	// Signed is set if the answer carries the endpoint's signature.
+	Signed bool
 	// NotRun is set if the endpoint did not run the request and never will.
 	NotRun bool
-	// Elsewhere is set if the request was for another instance, model or version than that of the endpoint.
-	Elsewhere bool
+	// Misdirected is set if the request was for another instance, model or version than that of the endpoint.
+	Misdirected bool
 	// Instance is the id of the endpoint that answered, empty if the answer does not contain it.
 	Instance string
 	// Notice is the notice that the endpoint sent about itself.
