--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -188,7 +188,7 @@
 
 // buildLoads shares the weight store's budget: one box of the region schedules, cut-off boxes use a fixed share.
 func (b *Box) buildLoads(peers *peer.Client) {
-	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, MaxConcurrent: b.cfg.Settings.Loads.AtOnce}
+	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, MaxConcurrent: b.cfg.Settings.Loads.MaxConcurrent}
 	b.scheduler = loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget { return budget }})
 	fallback := loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget {
 		boxes := max(1, len(b.catalog.Topology().Boxes))
@@ -253,7 +253,7 @@
 		UnrepeatableServices: &http.Client{Transport: httpx.NewOnceTransport(), CheckRedirect: noRedirect},
 		Limits: gateway.Limits{
 			BodyBytes: s.Request.BodyBytes, BodyTime: s.Request.BodyTime, DefaultWait: s.Request.DefaultWait,
-			MaxDuration: s.Request.Longest, LocateTTL: s.Request.LocateKeep,
+			MaxDuration: s.Request.MaxDuration, LocateTTL: s.Request.LocateKeep,
 		},
 		Ready: b.feed.IsReady, Leaving: func() bool { return b.node.Leaving() }, Quarantine: b.quarantine, Places: b.places, Rates: b.rates, Notices: b.notices,
 	})
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -93,6 +93,6 @@
 		Register: quarantine.NewRegister(quarantine.RegisterConfig{CrashLimit: s.Quarantine.Endpoints, HoldTime: s.Quarantine.Hold}),
 		Fleet:    newFleet(fleetConfig{Catalog: c, Box: s.Box.Name, Cell: s.Box.Cell}),
 		Scope:    scope,
-		Disabled: !s.Policy.Chosen().IsEnabled(policy.Quarantine),
+		Disabled: !s.Policy.Build().IsEnabled(policy.Quarantine),
 	})
 }
--- a/internal/box/harness_test.go
+++ b/internal/box/harness_test.go
@@ -117,7 +117,7 @@
 	s.Listen = settings.Listen{Caller: any0, Peer: any0, Operator: any0}
 	s.Platform.Address = f.address
 	s.Timing.Beat, s.Timing.LeaseTTL, s.Timing.Term = 50*time.Millisecond, 500*time.Millisecond, 500*time.Millisecond
-	s.Loads = settings.Loads{PerSecond: 1000, AtOnce: 16}
+	s.Loads = settings.Loads{PerSecond: 1000, MaxConcurrent: 16}
 	s.Request.BodyBytes, s.Request.BodyTime = 64<<10, 200*time.Millisecond
 	return s
 }
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -133,7 +133,7 @@
 		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Locator: b.accountable, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
 	})
 	b.follower = follow.New(follow.Config{
-		Source: cfg.Deployment.Source, Catalog: b.catalog, Kinds: followedKinds(cfg.Settings.Customers), Grace: cfg.Settings.Platform.LapseGrace, Scope: b.metrics.Scope,
+		Source: cfg.Deployment.Source, Catalog: b.catalog, Kinds: followedKinds(cfg.Settings.Customers), Grace: cfg.Settings.Platform.MissingEndpointGrace, Scope: b.metrics.Scope,
 		RelayTimeout: silentBeats * cfg.Settings.Timing.Beat, FirstWatchDelay: firstWatchBeats * cfg.Settings.Timing.Beat, RelayRate: tellShare * packed * bytesPerMbit * cfg.Settings.Box.LinkMbps,
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
@@ -185,7 +185,7 @@
 	}
 	b.owners = owner.NewSet(owner.SetConfig{
 		Supervisor: b.root, Loads: adapters, BaseLoads: budgeted, Scope: b.metrics.Scope, Client: quarantinedOrders{b.cfg.Deployment.Engines, b.quarantine},
-		PrefillRate: b.cfg.Settings.Routes.PrefillRate, Policy: b.cfg.Settings.Policy.Chosen(),
+		PrefillRate: b.cfg.Settings.Routes.PrefillRate, Policy: b.cfg.Settings.Policy.Build(),
 		Authority: func(name string, now time.Time) (uint64, bool) { return b.node.Authority(name, now) },
 		Lookup:    b.lookupEngine, Rates: b.rates, Notices: b.notices,
 		Leaving: func(name string) bool { return b.catalog.Topology().Engines[name].Leaving },
@@ -195,7 +195,7 @@
 
 // loadBudget returns what the routing configuration allows, else what the settings say.
 func (b *Routed) loadBudget() loads.Budget {
-	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, MaxConcurrent: b.cfg.Settings.Loads.AtOnce}
+	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, MaxConcurrent: b.cfg.Settings.Loads.MaxConcurrent}
 	t := b.catalog.Topology().Routes
 	if t == nil {
 		return budget
@@ -244,7 +244,7 @@
 		Box: s.Box.Name, Zone: s.Box.Zone, Catalog: b.catalog, Owners: b.owners, Grants: grants, Wire: b.cfg.Deployment.Wire, Scope: b.metrics.Scope,
 		Endpoints: &http.Client{Transport: httpx.NewTransport(connsPerEngine), CheckRedirect: noRedirect},
 		Budget:    relay.BudgetConfig{RetriesPerRequest: s.Routes.RetryRatio, Allowance: s.Routes.RetryAllowance, Boxes: b.boxes},
-		Policy:    s.Policy.Chosen(),
+		Policy:    s.Policy.Build(),
 		Quotas:    quota.NewClient(quota.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Accountable: b.accountable, Ledger: b.ledger, Scope: b.metrics.Scope}),
 		Places:    b.places, Quarantine: b.quarantine, Rates: b.rates, Notices: b.notices,
 		AgeLimits: relay.ConfigAgeLimits{
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -64,8 +64,8 @@
 	Address netip.AddrPort `toml:"address"`
 	// Form selects the platform's API: FormObjects or FormBellgap.
 	Form string `toml:"form"`
-	// LapseGrace is how long endpoints that are missing from the platform's store are kept after an outage of the store.
-	LapseGrace time.Duration `toml:"lapse_grace"`
+	// MissingEndpointGrace is how long endpoints that are missing from the platform's store are kept after an outage of the store.
+	MissingEndpointGrace time.Duration `toml:"lapse_grace"`
 }
 
 // Values of Platform.Form.
@@ -92,16 +92,16 @@
 	BodyTime  time.Duration `toml:"body_time"`
 	// DefaultWait is the longest wait for the start of a request if neither the request nor its priority sets a limit.
 	DefaultWait time.Duration `toml:"default_wait"`
-	// Longest is the maximum duration of a whole request.
-	Longest time.Duration `toml:"longest"`
+	// MaxDuration is the maximum duration of a whole request.
+	MaxDuration time.Duration `toml:"longest"`
 	// LocateKeep is how long callers may cache the answer to a locate request.
 	LocateKeep time.Duration `toml:"locate_keep"`
 }
 
 // Loads is the load budget of the weight store. All boxes of the region share it.
 type Loads struct {
-	PerSecond float64 `toml:"per_second"`
-	AtOnce    int     `toml:"at_once"`
+	PerSecond     float64 `toml:"per_second"`
+	MaxConcurrent int     `toml:"at_once"`
 	// Limit selects the loads that the budget limits: LimitAdapters or LimitBaseModels.
 	Limit string `toml:"limit"`
 }
@@ -159,9 +159,9 @@
 	Off []policy.Mechanism `toml:"off"`
 }
 
-// Chosen returns the policy with the mechanisms in Off disabled. Off must have been
+// Build returns the policy with the mechanisms in Off disabled. Off must have been
 // validated; an invalid list yields the zero policy, which disables nothing.
-func (p Policy) Chosen() policy.Policy {
+func (p Policy) Build() policy.Policy {
 	chosen, err := policy.New(p.Off)
 	if err != nil {
 		return policy.Policy{}
@@ -188,11 +188,11 @@
 		Box: Box{Cell: resource.DefaultCell, Region: "default", LinkMbps: 10},
 		Request: Request{
 			BodyBytes: 4 << 20, BodyTime: 10 * time.Second, DefaultWait: 30 * time.Second,
-			Longest: 10 * time.Minute, LocateKeep: 10 * time.Second,
+			MaxDuration: 10 * time.Minute, LocateKeep: 10 * time.Second,
 		},
-		Platform: Platform{Form: FormBellgap, LapseGrace: 2300 * time.Millisecond},
+		Platform: Platform{Form: FormBellgap, MissingEndpointGrace: 2300 * time.Millisecond},
 		Routes:   Routes{RetryRatio: 0.1, RetryAllowance: 10, PrefillRate: 19000},
-		Loads:    Loads{PerSecond: 3, AtOnce: 2, Limit: LimitAdapters},
+		Loads:    Loads{PerSecond: 3, MaxConcurrent: 2, Limit: LimitAdapters},
 		Timing:   Timing{Beat: time.Second, LeaseTTL: 3 * time.Second, Term: 4 * time.Second, Drain: 10 * time.Minute, Leave: 10 * time.Minute},
 		Log:      Log{Level: 1},
 		Process:  Process{GCPercent: 100},
@@ -269,8 +269,8 @@
 			func(s *Settings) string { return checkPlatformForm(s) },
 		},
 		{
-			"platform.lapse_grace", "How long after an outage of the store endpoints missing there are kept.", d.Platform.LapseGrace.String(),
-			func(s *Settings) string { return checkRange(s.Platform.LapseGrace, 0, time.Minute) },
+			"platform.lapse_grace", "How long after an outage of the store endpoints missing there are kept.", d.Platform.MissingEndpointGrace.String(),
+			func(s *Settings) string { return checkRange(s.Platform.MissingEndpointGrace, 0, time.Minute) },
 		},
 		{
 			"listen.peer_advertised", "Address under which other boxes reach this one, where that is not `listen.peer`.", "unused", func(*Settings) string { return "" },
@@ -302,8 +302,8 @@
 			func(s *Settings) string { return checkRange(s.Request.DefaultWait, time.Millisecond, time.Hour) },
 		},
 		{
-			"request.longest", "Longest time for a whole request.", d.Request.Longest.String(),
-			func(s *Settings) string { return checkRange(s.Request.Longest, time.Second, 24*time.Hour) },
+			"request.longest", "Longest time for a whole request.", d.Request.MaxDuration.String(),
+			func(s *Settings) string { return checkRange(s.Request.MaxDuration, time.Second, 24*time.Hour) },
 		},
 		{
 			"request.locate_keep", "How long callers may keep a locate answer.", d.Request.LocateKeep.String(),
@@ -314,8 +314,8 @@
 			func(s *Settings) string { return checkRange(s.Loads.PerSecond, 0.001, 10000) },
 		},
 		{
-			"loads.at_once", "Loads at once from the weight store, for the whole site.", fmt.Sprint(d.Loads.AtOnce),
-			func(s *Settings) string { return checkRange(s.Loads.AtOnce, 1, 10000) },
+			"loads.at_once", "Loads at once from the weight store, for the whole site.", fmt.Sprint(d.Loads.MaxConcurrent),
+			func(s *Settings) string { return checkRange(s.Loads.MaxConcurrent, 1, 10000) },
 		},
 		{
 			"loads.limit", "What the weight store's budget limits: `adapters` or `base_models`.", d.Loads.Limit,
@@ -379,7 +379,7 @@
 		},
 		{
 			"timing.drain", "How long a silent box may still have requests in flight; at least request.longest.", d.Timing.Drain.String(),
-			func(s *Settings) string { return checkRange(s.Timing.Drain, s.Request.Longest, 48*time.Hour) },
+			func(s *Settings) string { return checkRange(s.Timing.Drain, s.Request.MaxDuration, 48*time.Hour) },
 		},
 		{
 			"timing.leave", "Longest time for a planned stop.", d.Timing.Leave.String(),
