--- a/internal/box/harness_test.go
+++ b/internal/box/harness_test.go
@@ -59,13 +59,13 @@
 	f.declare("downs", &resource.Cooperative{MaxInFlight: 1000})
 	f.declare("gate", &resource.Priority{Urgency: 50, MaxWait: resource.Duration(time.Minute)})
 	f.declare("titles", &resource.Service{
-		Addresses: []netip.AddrPort{f.listen(f.service.Handler())}, Timeout: resource.Duration(time.Minute), Unrepeatable: []string{"/notice"},
+		Addresses: []netip.AddrPort{f.listen(f.service.Handler())}, Timeout: resource.Duration(time.Minute), UnrepeatablePrefixes: []string{"/notice"},
 	})
 	for i, e := range cfg.engines {
 		engine := fakeengine.New(e)
 		f.engines = append(f.engines, engine)
 		f.declare(fmt.Sprintf("engine-%d", i+1), &resource.Engine{
-			Address: f.listen(engine.Handler()), Box: fmt.Sprintf("host-%d", i+1), Zone: zone, BaseModel: baseModel, Slots: e.Slots, Batch: e.Batch, ChecksOrders: e.ChecksOrders,
+			Address: f.listen(engine.Handler()), Box: fmt.Sprintf("host-%d", i+1), Zone: zone, BaseModel: baseModel, Slots: e.Slots, Batch: e.Batch, ChecksEpochs: e.ChecksOrders,
 		})
 	}
 	f.declareAdapter(modelName)
--- a/internal/box/notice_test.go
+++ b/internal/box/notice_test.go
@@ -35,7 +35,7 @@
 		f.engines, f.services = append(f.engines, e), append(f.services, s)
 		f.atEngines, f.atServices = append(f.atEngines, &counting{handler: e.Handler()}), append(f.atServices, &counting{handler: s.Handler()})
 		f.declare(fmt.Sprint("engine-", i), &resource.Engine{
-			Address: f.listen(f.atEngines[i]), Box: fmt.Sprint("host-", i), Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksOrders: true,
+			Address: f.listen(f.atEngines[i]), Box: fmt.Sprint("host-", i), Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksEpochs: true,
 		})
 		addresses = append(addresses, f.listen(f.atServices[i]))
 	}
--- a/internal/box/quarantine_test.go
+++ b/internal/box/quarantine_test.go
@@ -81,7 +81,7 @@
 	c := qt.New(t)
 	f := startFleet(c, fleetConfig{boxes: 2})
 	engine, service := startEnding(c, fakeengine.New(smallEngine()).Handler()), startEnding(c, f.service.Handler())
-	f.declare("engine-1", &resource.Engine{Address: engine.address, Box: "host-1", Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksOrders: true})
+	f.declare("engine-1", &resource.Engine{Address: engine.address, Box: "host-1", Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksEpochs: true})
 	f.declare("deadly", &resource.Service{Addresses: []netip.AddrPort{service.address}, Timeout: resource.Duration(time.Minute)})
 	f.settle(2, 1)
 	completionBody := fmt.Sprintf(`{"model":%q,"max_tokens":3,"stream":true,"prompt":"deadly"}`, modelName)
--- a/internal/box/rate_test.go
+++ b/internal/box/rate_test.go
@@ -79,7 +79,7 @@
 		atEngine, atService := &counting{handler: e.Handler()}, &counting{handler: s.Handler()}
 		arrivals = append(arrivals, atEngine, atService)
 		f.declare(fmt.Sprint("engine-", i), &resource.Engine{
-			Address: f.listen(atEngine), Box: fmt.Sprint("host-", i), Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksOrders: true,
+			Address: f.listen(atEngine), Box: fmt.Sprint("host-", i), Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksEpochs: true,
 		})
 		addresses = append(addresses, f.listen(atService))
 	}
--- a/internal/box/redeclare_test.go
+++ b/internal/box/redeclare_test.go
@@ -28,7 +28,7 @@
 	f.until(func() bool { return f.engines[0].Report().Running == 1 })
 	moved := fakeengine.New(smallEngine())
 	f.declare("engine-1", &resource.Engine{
-		Address: f.listen(moved.Handler()), Box: "host-1", Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksOrders: true,
+		Address: f.listen(moved.Handler()), Box: "host-1", Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksEpochs: true,
 	})
 	f.until(func() bool {
 		a := f.ask(f.boxes[1], "/v1/completions", completion(modelName, 1, false))
--- a/internal/catalog/topology.go
+++ b/internal/catalog/topology.go
@@ -184,8 +184,8 @@
 	}
 	model := baseModel(name, e, s.Engine)
 	t.addEngine(name, &resource.Engine{
-		Address: e.Address, Zone: e.Zone, BaseModel: model, Slots: s.Engine.Slots(model) - spareSlots, Batch: s.Engine.Batch,
-		Service: e.Service, FinishesFirst: true, KVTokens: int(kvFillLimit * float64(s.Engine.KVTokens)), Started: e.Started,
+		Address: e.Address, Zone: e.Zone, BaseModel: model, Slots: s.Engine.SlotsFor(model) - spareSlots, Batch: s.Engine.Batch,
+		Service: e.Service, DrainsBeforeUnload: true, KVTokens: int(kvFillLimit * float64(s.Engine.KVTokens)), Started: e.Started,
 	}, o)
 	if e.Leaving {
 		t.markLeaving(name)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -105,7 +105,7 @@
 // isRepeatable reports whether a call may run twice. The unrepeatable paths of the service's declaration take precedence, then the caller's header,
 // then the method.
 func isRepeatable(r *http.Request, path string, s *resource.Service) bool {
-	for _, p := range s.Unrepeatable {
+	for _, p := range s.UnrepeatablePrefixes {
 		if strings.HasPrefix(path, p) {
 			return false
 		}
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -246,7 +246,7 @@
 	}
 	// An engine that checks the epoch of orders rejects those of a former owner itself.
 	e, declared := n.cfg.Catalog.Engine(engine)
-	return g.Epoch, declared && e.ChecksOrders
+	return g.Epoch, declared && e.ChecksEpochs
 }
 
 // Serve sends heartbeats until ctx ends, and coordinates the cell while this box holds the lease.
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -146,7 +146,7 @@
 		cfg: cfg, events: make(chan event, eventBuffer), done: make(chan struct{}),
 		state: New(Config{
 			Slots: cfg.Engine.Slots, Batch: cfg.Engine.Batch, MaxQueue: cfg.MaxQueue, Pack: cfg.Pack, KVTokens: cfg.Engine.KVTokens,
-			PrefillRate: cfg.PrefillRate, FinishesFirst: cfg.Engine.FinishesFirst, AwaitReport: cfg.Engine.FinishesFirst, Policy: cfg.Policy,
+			PrefillRate: cfg.PrefillRate, FinishesFirst: cfg.Engine.DrainsBeforeUnload, AwaitReport: cfg.Engine.DrainsBeforeUnload, Policy: cfg.Policy,
 		}),
 		replies: map[uint64]chan decision{}, previousOwnerActive: true, reconciler: newReconciler(), orders: &errgroup.Group{},
 		status: Status{Engine: cfg.Name}, engineLeaving: cfg.EngineLeaving,
--- a/internal/owner/runner_test.go
+++ b/internal/owner/runner_test.go
@@ -45,7 +45,7 @@
 		c := qt.New(t)
 		e := &replacedEngine{}
 		r := owner.NewRunner(owner.RunnerConfig{
-			Name: "e", Engine: resource.Engine{BaseModel: "base", Slots: 4, Batch: 8, FinishesFirst: true}, MaxQueue: 10, Client: e,
+			Name: "e", Engine: resource.Engine{BaseModel: "base", Slots: 4, Batch: 8, DrainsBeforeUnload: true}, MaxQueue: 10, Client: e,
 			Loads: loads.Unlimited{}, BaseLoads: loads.Unlimited{}, Scope: tally.NoopScope, Authority: func(time.Time) (uint64, bool) { return 1, true },
 		})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/owner/set.go
+++ b/internal/owner/set.go
@@ -162,7 +162,7 @@
 // it unloads the adapter. Delaying the unloads there brings no benefit: 8 s without evictions after each takeover cost 0.09 to
 // 0.14 of a site's score, and 1.5 s and 3 s gained nothing.
 func (s *Set) canFinishTakeover(g coordinator.Ownership, o *ownedEngine) bool {
-	return o.settings.engine.FinishesFirst || (g.Previous == "" && !s.isDraining(g.Engine))
+	return o.settings.engine.DrainsBeforeUnload || (g.Previous == "" && !s.isDraining(g.Engine))
 }
 
 // hasNewSettings reports whether the declared configuration of an engine has changed since its Runner started.
--- a/internal/relay/identify_test.go
+++ b/internal/relay/identify_test.go
@@ -14,7 +14,7 @@
 
 // keyedRouting returns a routing configuration in which customers have keys. The map gives the customer of each key.
 func keyedRouting(keys map[string]string) *resource.Routing {
-	r := &resource.Routing{Version: 1, Keyed: true, Routes: []resource.Route{
+	r := &resource.Routing{Version: 1, RequiresKey: true, Routes: []resource.Route{
 		{Name: "r", Host: "h", Prefix: "/", Kind: resource.RouteOnce, Attempts: 1, Timeout: resource.Duration(time.Second), Targets: []resource.Target{{Service: "s", Weight: 1}}},
 	}}
 	for key, name := range keys {
--- a/internal/resource/routing.go
+++ b/internal/resource/routing.go
@@ -36,9 +36,9 @@
 	Routes   []Route        `json:"routes"`
 	Services []RouteService `json:"services"`
 	Limits   CallerLimits   `json:"limits"`
-	// Keyed is set if requests must carry a customer's key, except on routes that are Open.
-	Keyed     bool                `json:"keyed,omitempty"`
-	Customers []customer.Customer `json:"customers,omitempty"`
+	// RequiresKey is set if requests must carry a customer's key, except on routes that are Open.
+	RequiresKey bool                `json:"keyed,omitempty"`
+	Customers   []customer.Customer `json:"customers,omitempty"`
 }
 
 // Check implements Spec.
@@ -135,8 +135,8 @@
 	Models         []BaseModel `json:"models"`
 }
 
-// Slots returns the number of adapters that fit in an engine that has loaded the base model.
-func (e *EngineClass) Slots(model string) int {
+// SlotsFor returns the number of adapters that fit in an engine that has loaded the base model.
+func (e *EngineClass) SlotsFor(model string) int {
 	for _, m := range e.Models {
 		if m.Name != model || m.AdapterMB <= 0 {
 			continue
--- a/internal/resource/specs.go
+++ b/internal/resource/specs.go
@@ -125,13 +125,13 @@
 	Slots int `json:"slots"`
 	// Batch is the number of sequences that the engine processes in one step.
 	Batch int `json:"batch"`
-	// ChecksOrders is set if the engine rejects orders with an epoch older than the newest epoch it has seen.
-	ChecksOrders bool `json:"checks_orders"`
+	// ChecksEpochs is set if the engine rejects orders with an epoch older than the newest epoch it has seen.
+	ChecksEpochs bool `json:"checks_orders"`
 	// Service is the name of the service that the engine is an endpoint of. It is empty if requests specify only the model.
 	Service string `json:"service,omitempty"`
-	// FinishesFirst is set if the engine completes an adapter's running requests before it unloads or replaces the adapter, and if
+	// DrainsBeforeUnload is set if the engine completes an adapter's running requests before it unloads or replaces the adapter, and if
 	// a load replaces the adapter's other versions.
-	FinishesFirst bool `json:"finishes_first,omitempty"`
+	DrainsBeforeUnload bool `json:"finishes_first,omitempty"`
 	// KVTokens is the capacity of the engine's KV cache, in tokens, zero if unknown.
 	KVTokens int `json:"kv_tokens,omitempty"`
 	// Started is the start time in Unix milliseconds, zero if unknown.
@@ -159,8 +159,8 @@
 	Addresses []netip.AddrPort `json:"addresses"`
 	// Timeout is the maximum duration of one call.
 	Timeout Duration `json:"timeout"`
-	// Unrepeatable lists the path prefixes of calls that must run at most once.
-	Unrepeatable []string `json:"unrepeatable,omitempty"`
+	// UnrepeatablePrefixes lists the path prefixes of calls that must run at most once.
+	UnrepeatablePrefixes []string `json:"unrepeatable,omitempty"`
 }
 
 // Check implements Spec.
@@ -176,7 +176,7 @@
 	if d := time.Duration(s.Timeout); d <= 0 || d > time.Hour {
 		return fmt.Errorf("timeout must be in 1ms..1h")
 	}
-	for _, p := range s.Unrepeatable {
+	for _, p := range s.UnrepeatablePrefixes {
 		if !strings.HasPrefix(p, "/") {
 			return fmt.Errorf("unrepeatable %q must start with /", p)
 		}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -27,7 +27,7 @@
 func New(r *resource.Routing) *Table {
 	t := &Table{
 		version: r.Version, routesByHost: map[string][]*resource.Route{}, services: map[string]*resource.RouteService{}, limits: r.Limits,
-		keyed: r.Keyed, customers: customer.NewTable(r.Customers),
+		keyed: r.RequiresKey, customers: customer.NewTable(r.Customers),
 	}
 	for i := range r.Routes {
 		rt := &r.Routes[i]
