--- a/internal/engine/answer.go
+++ b/internal/engine/answer.go
@@ -61,7 +61,7 @@
 func (a *Answer) ReadAll() ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(a.resp.Body, maxAnswerBytes+1))
 	if err != nil {
-		return nil, result.Cut(result.StreamCut, err)
+		return nil, result.NewConnError(result.StreamCut, err)
 	}
 	if len(b) > maxAnswerBytes {
 		return nil, result.New(result.StreamCut, "answer too large: read %d bytes", len(b))
@@ -80,7 +80,7 @@
 	for {
 		line, err := a.reader.ReadSlice('\n')
 		if err != nil {
-			return nil, result.Cut(result.StreamCut, err)
+			return nil, result.NewConnError(result.StreamCut, err)
 		}
 		if len(event)+len(line) > maxEventBytes {
 			return nil, result.New(result.StreamCut, "event larger than %d bytes", maxEventBytes)
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -151,7 +151,7 @@
 	case ctx.Err() != nil:
 		return result.New(result.CallerGone, "%v", context.Cause(ctx))
 	default:
-		return result.Cut(result.AnswerLost, err)
+		return result.NewConnError(result.AnswerLost, err)
 	}
 }
 
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -78,7 +78,7 @@
 	for i := 0; i < len(candidates); i++ {
 		e := candidates[i]
 		if rerr := g.cfg.Quarantine.Refusal(j.suspect.Fingerprint); rerr != nil {
-			return nil, rerr.After(mayHaveRun)
+			return nil, rerr.AdjustForRetries(mayHaveRun)
 		}
 		// Trying the next engine is routing, not a retry, if the last engine was only slower than another,
 		// or announced that it takes no requests.
@@ -94,7 +94,7 @@
 		}
 		j.entry.AddTry(record.Try{Engine: e.Name, Box: e.Owner.Box, Result: err.Code.String(), Detail: err.Detail})
 		mayHaveRun = mayHaveRun || err.Code.Info().Ran != result.RanNo
-		lastErr = err.After(mayHaveRun)
+		lastErr = err.AdjustForRetries(mayHaveRun)
 		summary.add(err)
 		if err.Code == result.RateLimited {
 			rateLimited = append(rateLimited, e.Name)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -139,7 +139,7 @@
 			break
 		}
 		if rerr := g.cfg.Quarantine.Refusal(c.suspect.Fingerprint); rerr != nil {
-			return nil, endpoint, rerr.After(mayHaveRun)
+			return nil, endpoint, rerr.AdjustForRetries(mayHaveRun)
 		}
 		if rerr := g.checkAddress(name); rerr != nil {
 			summary.add(rerr)
@@ -169,7 +169,7 @@
 		}
 		g.cfg.Quarantine.RecordOutcome(ctx, c.suspect, endpoint, rerr)
 		mayHaveRun = mayHaveRun || rerr.Code.Info().Ran != result.RanNo
-		lastErr = rerr.After(mayHaveRun)
+		lastErr = rerr.AdjustForRetries(mayHaveRun)
 		if !canTryElsewhere(rerr, c.repeatable) {
 			break
 		}
@@ -206,7 +206,7 @@
 	case !sent.Started():
 		return nil, result.New(result.BackendUnreachable, "%v", err)
 	default:
-		return nil, result.Cut(result.AnswerLost, err)
+		return nil, result.NewConnError(result.AnswerLost, err)
 	}
 }
 
@@ -227,7 +227,7 @@
 	w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(w, resp.Body); err != nil {
 		g.countResult(result.StreamCut)
-		return result.Cut(result.StreamCut, err)
+		return result.NewConnError(result.StreamCut, err)
 	}
 	g.countResult(result.OK)
 	return nil
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -161,7 +161,7 @@
 		q.recordTry(engine.name, "without owner")
 		return engine, nil
 	}
-	if q.rateLimited.count > 0 && (asked == 0 || (lastErr.Wait() == 0 && !isOwnerUnavailable(lastErr))) {
+	if q.rateLimited.count > 0 && (asked == 0 || (lastErr.RetryDelay() == 0 && !isOwnerUnavailable(lastErr))) {
 		// The other owners have not reported when they could take the request.
 		lastErr = result.New(result.RateLimited, "%s of %s", q.head.Model, q.service)
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -120,7 +120,7 @@
 	case ctx.Err() != nil:
 		return result.New(result.TimedOut, "%v", context.Cause(ctx))
 	default:
-		return result.Cut(result.AnswerLost, err)
+		return result.NewConnError(result.AnswerLost, err)
 	}
 }
 
@@ -173,7 +173,7 @@
 func (o *output) copyAnswer(resp *http.Response) *result.Error {
 	start, err := io.ReadAll(io.LimitReader(resp.Body, answerBuffer))
 	if err != nil {
-		return result.Cut(result.StreamCut, err)
+		return result.NewConnError(result.StreamCut, err)
 	}
 	o.writeHead(resp)
 	if _, err := o.w.Write(start); err != nil {
@@ -183,7 +183,7 @@
 		return nil
 	}
 	if _, err := io.Copy(o.w, resp.Body); err != nil {
-		return result.Cut(result.StreamCut, err)
+		return result.NewConnError(result.StreamCut, err)
 	}
 	return nil
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -160,7 +160,7 @@
 	if rerr.Code == result.CallerGone {
 		rerr = &result.Error{Code: result.DeadlineUnmet, Detail: rerr.Detail}
 	}
-	return rerr.After(q.possibleRuns > 0)
+	return rerr.AdjustForRetries(q.possibleRuns > 0)
 }
 
 // ServeHTTP forwards one request and sends the answer, or an error, to the caller.
@@ -292,7 +292,7 @@
 	r.countResult(rerr.Code)
 	r.logRequest(q, rerr)
 	info := rerr.Code.Info()
-	if wait := rerr.Wait(); info.Ran == result.RanNo && wait > 0 {
+	if wait := rerr.RetryDelay(); info.Ran == result.RanNo && wait > 0 {
 		r.cfg.Wire.WriteRetryAfter(w.Header(), wait)
 	}
 	status := info.Status
--- a/internal/relay/stream.go
+++ b/internal/relay/stream.go
@@ -66,7 +66,7 @@
 			return lastID, nil
 		}
 		if err != nil {
-			return lastID, result.Cut(result.StreamCut, err)
+			return lastID, result.NewConnError(result.StreamCut, err)
 		}
 		if o.onEvent != nil {
 			o.onEvent()
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -43,16 +43,16 @@
 	return &Error{Code: c, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Cut returns the Error of a call whose connection failed with err. BrokenOff stays unset if the call timed out or this side canceled it.
-func Cut(c Code, err error) *Error {
+// NewConnError returns the Error of a call whose connection failed with err. BrokenOff stays unset if the call timed out or this side canceled it.
+func NewConnError(c Code, err error) *Error {
 	e := New(c, "%v", err)
 	e.BrokenOff = !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
 	return e
 }
 
-// After returns the Error to send to the caller of a request that was tried several times. If an earlier try may have run, a result that
+// AdjustForRetries returns the Error to send to the caller of a request that was tried several times. If an earlier try may have run, a result that
 // says the request did not run is true of the last try only, so After replaces it by AnswerLost.
-func (e *Error) After(mayHaveRun bool) *Error {
+func (e *Error) AdjustForRetries(mayHaveRun bool) *Error {
 	if !mayHaveRun || e.Code.Info().Ran != RanNo {
 		return e
 	}
@@ -67,8 +67,8 @@
 	return fmt.Sprintf("%d %s: %s", e.Code, e.Code, e.Detail)
 }
 
-// Wait returns the delay after which a retry makes sense, or zero if the caller should not retry.
-func (e *Error) Wait() time.Duration {
+// RetryDelay returns the delay after which a retry makes sense, or zero if the caller should not retry.
+func (e *Error) RetryDelay() time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
@@ -115,13 +115,13 @@
 	}
 	return Body{BodyError{
 		Message: msg, Type: i.Name, Code: e.Code, Ran: i.Ran.String(),
-		RetryMS: e.Wait().Milliseconds(), Elsewhere: e.Elsewhere, RequestID: requestID,
+		RetryMS: e.RetryDelay().Milliseconds(), Elsewhere: e.Elsewhere, RequestID: requestID,
 	}}
 }
 
 // Write sends e as the complete response, with the HTTP status of its code and a Retry-After header if a retry makes sense.
 func (e *Error) Write(w http.ResponseWriter, requestID string) {
-	if d := e.Wait(); d > 0 {
+	if d := e.RetryDelay(); d > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10))
 	}
 	e.WriteStatus(w, e.Code.Info().Status, requestID)
