--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -250,7 +250,7 @@
 		Engines:              b.engines,
 		PeerClient:           &http.Client{Transport: httpx.NewTransport(connsPerPeer)},
 		Services:             &http.Client{Transport: httpx.NewTransport(connsPerService), CheckRedirect: noRedirect},
-		UnrepeatableServices: &http.Client{Transport: httpx.NewOnceTransport(), CheckRedirect: noRedirect},
+		UnrepeatableServices: &http.Client{Transport: httpx.NewSingleUseTransport(), CheckRedirect: noRedirect},
 		Limits: gateway.Limits{
 			BodyBytes: s.Request.BodyBytes, BodyTime: s.Request.BodyTime, DefaultWait: s.Request.DefaultWait,
 			MaxDuration: s.Request.MaxDuration, LocateTTL: s.Request.LocateKeep,
--- a/internal/box/teller.go
+++ b/internal/box/teller.go
@@ -24,7 +24,7 @@
 // newTeller returns what tells other boxes which endpoints leave. It talks to any box now and then, so that it keeps no connections.
 func newTeller(cfg tellerConfig) *notice.Client {
 	return notice.NewClient(notice.ClientConfig{
-		HTTP: &http.Client{Transport: httpx.NewOnceTransport()}, Board: cfg.Board, Scope: cfg.Scope,
+		HTTP: &http.Client{Transport: httpx.NewSingleUseTransport()}, Board: cfg.Board, Scope: cfg.Scope,
 		OtherBoxes: func() []netip.AddrPort { return othersOf(cfg.Catalog, cfg.Box) },
 	})
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -65,10 +65,10 @@
 	if err != nil {
 		return eris.Wrap(err, "engine: create order request")
 	}
-	sent := httpx.TraceSent(req)
+	sent := httpx.NewSendTrace(req)
 	resp, err := c.http.Do(sent.Request)
 	switch {
-	case err != nil && sent.Started() && ctx.Err() == nil:
+	case err != nil && sent.MayHaveSent() && ctx.Err() == nil:
 		return eris.Wrapf(ErrConnectionLost, "engine: send order: %v", err)
 	case err != nil:
 		return eris.Wrap(err, "engine: send order")
@@ -127,10 +127,10 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(result.HeaderRequest, call.RunID)
 	req.Header.Set("X-Priority", call.Urgency)
-	sent := httpx.TraceSent(req)
+	sent := httpx.NewSendTrace(req)
 	resp, err := c.http.Do(sent.Request)
 	if err != nil {
-		return nil, transportError(ctx, sent.Started(), err)
+		return nil, transportError(ctx, sent.MayHaveSent(), err)
 	}
 	engineNotice := NoticeHeaders.Read(resp.StatusCode, resp.Header)
 	if call.Notice != nil {
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -197,13 +197,13 @@
 	if !c.repeatable {
 		client = g.cfg.UnrepeatableServices
 	}
-	sent := httpx.TraceSent(req)
+	sent := httpx.NewSendTrace(req)
 	resp, err := client.Do(sent.Request)
 	switch {
 	case err == nil:
 		g.recordServiceNotice(a, resp)
 		return resp, nil
-	case !sent.Started():
+	case !sent.MayHaveSent():
 		return nil, result.New(result.BackendUnreachable, "%v", err)
 	default:
 		return nil, result.NewConnError(result.AnswerLost, err)
--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -50,9 +50,9 @@
 	}
 }
 
-// NewOnceTransport returns a transport that uses each connection for only one call. This prevents http.Transport from silently repeating a
+// NewSingleUseTransport returns a transport that uses each connection for only one call. This prevents http.Transport from silently repeating a
 // call after a reused connection turns out to be broken.
-func NewOnceTransport() *http.Transport {
+func NewSingleUseTransport() *http.Transport {
 	t := NewTransport(1)
 	t.DisableKeepAlives = true
 	return t
@@ -64,8 +64,8 @@
 	started atomic.Bool
 }
 
-// TraceSent returns a SendTrace whose Request is req with tracing. Send that Request instead of req.
-func TraceSent(req *http.Request) *SendTrace {
+// NewSendTrace returns a SendTrace whose Request is req with tracing. Send that Request instead of req.
+func NewSendTrace(req *http.Request) *SendTrace {
 	s := &SendTrace{}
 	trace := &httptrace.ClientTrace{
 		GotConn:      func(httptrace.GotConnInfo) { s.started.Store(true) },
@@ -75,8 +75,8 @@
 	return s
 }
 
-// Started reports whether the request was assigned a connection. From then on, bytes of the request may have been sent.
-func (s *SendTrace) Started() bool { return s.started.Load() }
+// MayHaveSent reports whether the request was assigned a connection. From then on, bytes of the request may have been sent.
+func (s *SendTrace) MayHaveSent() bool { return s.started.Load() }
 
 // Drain reads up to maxDrainBytes of the rest of body, so that the connection can be reused, and closes body.
 func Drain(body io.ReadCloser) {
@@ -119,9 +119,9 @@
 	return fmt.Sprintf("httpx: unexpected response status %d", e.Status)
 }
 
-// AskOnce sends message with PostOnce and decodes the JSON response into answer. It returns a *StatusError for a response status other
+// CallOnce sends message with PostOnce and decodes the JSON response into answer. It returns a *StatusError for a response status other
 // than 200.
-func AskOnce(ctx context.Context, client *http.Client, url string, message, answer any) error {
+func CallOnce(ctx context.Context, client *http.Client, url string, message, answer any) error {
 	resp, err := PostOnce(ctx, client, url, message)
 	if err != nil {
 		return err
--- a/internal/notice/client.go
+++ b/internal/notice/client.go
@@ -184,6 +184,6 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var answer message
-	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+to.String()+path, m, &answer)
+	err := httpx.CallOnce(ctx, c.cfg.HTTP, "http://"+to.String()+path, m, &answer)
 	return answer, eris.Wrap(err, "notice: call")
 }
--- a/internal/notice/client_test.go
+++ b/internal/notice/client_test.go
@@ -57,7 +57,7 @@
 	})
 	boxes := make([]*testBox, n)
 	for i := range boxes {
-		b := &testBox{transport: httpx.NewOnceTransport()}
+		b := &testBox{transport: httpx.NewSingleUseTransport()}
 		b.board = NewBoard(BoardConfig{Scope: tally.NoopScope, OnLeaving: func(e Endpoint, direct bool) {
 			if direct {
 				b.client.ReportLeaving(e)
--- a/internal/objects/client.go
+++ b/internal/objects/client.go
@@ -104,10 +104,10 @@
 	}
 	// Without GetBody the transport cannot send the body a second time.
 	req.GetBody = nil
-	traced := httpx.TraceSent(req)
+	traced := httpx.NewSendTrace(req)
 	resp, err := c.http.Do(traced.Request)
 	if err != nil {
-		return NewTransportError(method, traced.Started(), err)
+		return NewTransportError(method, traced.MayHaveSent(), err)
 	}
 	defer httpx.Drain(resp.Body)
 	if err := StatusError(resp.StatusCode); err != nil {
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -148,7 +148,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	var answer Answer
-	err := httpx.AskOnce(callCtx, c.cfg.HTTP, "http://"+address.String()+pathAcquire, a, &answer)
+	err := httpx.CallOnce(callCtx, c.cfg.HTTP, "http://"+address.String()+pathAcquire, a, &answer)
 	if httpx.IsUnanswered(err) && ctx.Err() == nil {
 		c.unresponsive.Add(address, clock.Now())
 	}
--- a/internal/quarantine/client.go
+++ b/internal/quarantine/client.go
@@ -280,7 +280,7 @@
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	var reply []Case
-	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+address.String()+path, cases, &reply)
+	err := httpx.CallOnce(ctx, c.cfg.HTTP, "http://"+address.String()+path, cases, &reply)
 	return reply, eris.Wrap(err, "quarantine: call to another box failed")
 }
 
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -146,7 +146,7 @@
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var reply TakeReply
-	err := httpx.AskOnce(ctx, c.cfg.HTTP, "http://"+address.String()+pathTake, req, &reply)
+	err := httpx.CallOnce(ctx, c.cfg.HTTP, "http://"+address.String()+pathTake, req, &reply)
 	if httpx.IsUnanswered(err) {
 		c.unresponsive.Add(address, clock.Now())
 	}
--- a/internal/relay/exchange.go
+++ b/internal/relay/exchange.go
@@ -85,10 +85,10 @@
 	outgoing.Body, outgoing.ContentLength = singleUseBody{bytes.NewReader(q.body)}, int64(len(q.body))
 	q.arrivals++
 	q.lastEndpoint, q.untilSent = to.name, clock.Since(q.receivedAt)
-	traced := httpx.TraceSent(outgoing)
+	traced := httpx.NewSendTrace(outgoing)
 	resp, err := r.cfg.Endpoints.Do(traced.Request)
 	if err != nil {
-		rerr := r.classifySendError(ctx, traced.Started(), err)
+		rerr := r.classifySendError(ctx, traced.MayHaveSent(), err)
 		if rerr.Code == result.BackendUnreachable || rerr.Code == result.NotListening {
 			// The request has not arrived, so the next try is not a retry.
 			q.arrivals--
