--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -266,7 +266,7 @@
 	return n
 }
 
-// ReleaseWithheld ends the withholding that Withhold started. It applies the withheld objects that the store still has and returns them.
+// ReleaseWithheld ends the withholding that BeginWithholding started. It applies the withheld objects that the store still has and returns them.
 func (c *Catalog) ReleaseWithheld(kind string) []objects.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/catalog/listing.go
+++ b/internal/catalog/listing.go
@@ -12,7 +12,7 @@
 	catalog  *Catalog
 	revision objects.Position
 	// Stale is set if the list ends before the catalog's revision or is of a later era. The cause is a stale read, or a platform that was
-	// restored from an older copy. Such a list neither removes nor reverts objects. Unstored returns the objects that the platform lost.
+	// restored from an older copy. Such a list neither removes nor reverts objects. LostByStore returns the objects that the platform lost.
 	Stale bool
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// End removes the objects that no page contained. It keeps objects that are newer than the list, and keeps all objects if Behind is set.
+// End removes the objects that no page contained. It keeps objects that are newer than the list, and keeps all objects if Stale is set.
 func (l *Listing) End() {
 	c := l.catalog
 	c.mu.Lock()
@@ -141,7 +141,7 @@
 }
 
 // KindChangesSince returns the objects of a kind whose values changed after revision from, including deletions, and whether the changes are
-// complete. If from is zero or deletions after it are no longer kept, KindSince returns all objects of the kind and false.
+// complete. If from is zero or deletions after it are no longer kept, KindChangesSince returns all objects of the kind and false.
 func (c *Catalog) KindChangesSince(kind string, from objects.Position) (changed []objects.Object, complete bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -166,7 +166,7 @@
 	return objectOverhead + len(o.Kind) + len(o.Name) + len(o.Value)
 }
 
-// KindChangesSize returns the approximate size in a message, in bytes, of the objects that KindSince returns. It does not encode them.
+// KindChangesSize returns the approximate size in a message, in bytes, of the objects that KindChangesSince returns. It does not encode them.
 func (c *Catalog) KindChangesSize(kind string, from objects.Position) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/catalog/size_test.go
+++ b/internal/catalog/size_test.go
@@ -13,7 +13,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// TestKindSize checks that KindSize is within a quarter of the encoded size of the changes.
+// TestKindSize checks that KindChangesSize is within a quarter of the encoded size of the changes.
 func TestKindSize(t *testing.T) {
 	c := qt.New(t)
 	kind := string(resource.KindEndpoint)
--- a/internal/coordinator/message.go
+++ b/internal/coordinator/message.go
@@ -94,7 +94,7 @@
 	// fields that have not changed since, and of Member it contains only Box and Incarnation. This saves about 100 B per owned engine in
 	// each direction. Base is zero in a full heartbeat.
 	Base uint64 `json:"base,omitempty"`
-	// GrantsSum is the checksum of the grants that the box holds, as computed by Sum.
+	// GrantsSum is the checksum of the grants that the box holds, as computed by GrantsChecksum.
 	GrantsSum uint64 `json:"grants_sum,omitempty"`
 	// PassOn requests that a box that is not the coordinator forward the heartbeat. It may be forwarded only to the coordinator with the
 	// lease epoch Lease.
@@ -121,7 +121,7 @@
 	Revision objects.Position `json:"revision"`
 	// GrantsUnchanged means that the checksum of the grants equals Beat.GrantsSum. The grants are omitted then.
 	GrantsUnchanged bool `json:"same,omitempty"`
-	// Unreached is set by an aggregator that could not reach the coordinator. Only News is valid then.
+	// Unreached is set by an aggregator that could not reach the coordinator. Only Updates is valid then.
 	Unreached *LeaseStatus `json:"unreached,omitempty"`
 	Updates
 }
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -67,7 +67,7 @@
 	// Running and Waiting are numbers of sequences.
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Steps is the number of engine steps since the start. Filled is the total number of sequences in these steps.
+	// Steps is the number of engine steps since the start. StepSequences is the total number of sequences in these steps.
 	Steps         int64 `json:"steps"`
 	StepSequences int64 `json:"filled"`
 	// Notice is the state that the engine announces in the response headers, even if it refuses to send the report. An unset
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -43,7 +43,7 @@
 	Catalog *catalog.Catalog
 	// PickSource returns the source for the next call.
 	PickSource func() Source
-	// LostObjects returns the objects that other boxes hold and that the platform has lost. They are merged after the first list. It may
+	// LostObjects returns the objects that other boxes hold and that the platform has lost. They are added to the catalog after the first list. It may
 	// be nil in tests.
 	LostObjects func(ctx context.Context) ([]objects.Object, error)
 	// Scope receives the counters of calls and failures.
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -16,7 +16,7 @@
 )
 
 // maxExtraEngines limits how many engines are tried in place of those that reported a rate limit,
-// a rest, or that they are leaving.
+// a pause, or that they are leaving.
 const maxExtraEngines = 8
 
 // maxLocalTries is how often a request is sent to the same engine if the engine reports that it has not loaded the adapter.
@@ -185,7 +185,7 @@
 	}
 	answer, err := g.cfg.Engines.Run(ctx, engine.Call{
 		Address: grant.Engine.Address, Path: j.path, Ref: j.ref, RunID: j.runID, Urgency: strconv.Itoa(j.urgency), Body: j.body,
-		Notice: func(w notice.HeaderNotices) { g.recordEngineNotice(grant, w) },
+		Notice: func(notices notice.HeaderNotices) { g.recordEngineNotice(grant, notices) },
 	})
 	if err != nil {
 		rerr := result.From(err, result.AnswerLost)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,7 +46,7 @@
 	Engines *engine.Client
 	// PeerClient is the client for requests to other boxes. Its transport must wait for 100 Continue before it sends a body.
 	PeerClient *http.Client
-	// Services is the client for calls of services, ServicesOnce the client for those calls that must not be repeated.
+	// Services is the client for calls of services, UnrepeatableServices the client for those calls that must not be repeated.
 	Services             *http.Client
 	UnrepeatableServices *http.Client
 	Limits               Limits
@@ -56,7 +56,7 @@
 	// Rates stores the maximum requests per second that engines and services report.
 	Places *places.Client
 	Rates  *ratelimit.Registry
-	// Notices stores which engines and services have announced that they are leaving or asked for a rest.
+	// Notices stores which engines and services have announced that they are leaving or requested a pause.
 	Notices *notice.Board
 	// Record stores how recent requests were handled, for operators.
 	Record *record.Log
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -20,43 +20,43 @@
 const retrySpread = 2 * time.Second
 
 // recordEngineNotice records the rate limit and the notices in the header of an engine's answer. No request is sent to an engine
-// without its owner, so only the owner needs to know that the engine is leaving. A rest applies to the box that sent the request: here, the owner.
-func (g *Gateway) recordEngineNotice(grant *owner.Grant, w notice.HeaderNotices) {
+// without its owner, so only the owner needs to know that the engine is leaving. A pause applies to the box that sent the request: here, the owner.
+func (g *Gateway) recordEngineNotice(grant *owner.Grant, notices notice.HeaderNotices) {
 	now := clock.Now()
-	if w.RateErr != nil {
-		g.cfg.Rates.RecordInvalid(now, grant.Name, w.RateErr)
+	if notices.RateErr != nil {
+		g.cfg.Rates.RecordInvalid(now, grant.Name, notices.RateErr)
 	} else {
-		rate := w.Rate
+		rate := notices.Rate
 		rate.Started = grant.Engine.Started
 		if g.cfg.Rates.Record(now, grant.Name, rate) {
 			grant.UpdateRate(rate)
 		}
 	}
-	if w.Leaving {
+	if notices.Leaving {
 		grant.RecordLeaving()
-		w.Leaving = false
+		notices.Leaving = false
 	}
-	g.cfg.Notices.RecordNotices(now, engineEndpoint(grant.Name), w)
+	g.cfg.Notices.RecordNotices(now, engineEndpoint(grant.Name), notices)
 }
 
-// engineEndpoint returns the endpoint of an engine on the notice board. Reused is set because no start time is needed:
-// a rest ends sooner than the engine could restart and ask for another rest.
+// engineEndpoint returns the endpoint of an engine on the notice board. NameReused is set because no start time is needed:
+// a pause ends sooner than the engine could restart and request another pause.
 func engineEndpoint(name string) notice.Endpoint {
 	return notice.Endpoint{Name: name, NameReused: true}
 }
 
 // recordServiceNotice records the rate limit and the notices in the header of a service's answer for the address that answered.
 func (g *Gateway) recordServiceNotice(a netip.AddrPort, resp *http.Response) {
-	now, w := clock.Now(), engine.NoticeHeaders.Read(resp.StatusCode, resp.Header)
-	if w.RateErr != nil {
-		g.cfg.Rates.RecordInvalid(now, a.String(), w.RateErr)
+	now, notices := clock.Now(), engine.NoticeHeaders.Read(resp.StatusCode, resp.Header)
+	if notices.RateErr != nil {
+		g.cfg.Rates.RecordInvalid(now, a.String(), notices.RateErr)
 	} else {
-		g.cfg.Rates.Record(now, a.String(), w.Rate)
+		g.cfg.Rates.Record(now, a.String(), notices.Rate)
 	}
-	g.cfg.Notices.RecordNotices(now, notice.Endpoint{Name: a.String(), NameReused: true}, w)
+	g.cfg.Notices.RecordNotices(now, notice.Endpoint{Name: a.String(), NameReused: true}, notices)
 }
 
-// checkRest returns an error if an engine or address has asked this box for a rest.
+// checkRest returns an error if an engine or address has requested a pause from this box.
 func (g *Gateway) checkRest(name string) *result.Error {
 	if wait := g.cfg.Notices.RemainingPause(clock.Now(), engineEndpoint(name)); wait > 0 {
 		return restingError(name, wait)
@@ -70,7 +70,7 @@
 	return rerr
 }
 
-// checkGranted returns an error if the engine announced that it is leaving or asked for a rest while the request waited for its grant.
+// checkGranted returns an error if the engine announced that it is leaving or requested a pause while the request waited for its grant.
 func (g *Gateway) checkGranted(grant *owner.Grant) *result.Error {
 	if grant.IsLeaving() {
 		return result.New(result.EndpointLeaving, "%s", grant.Name)
@@ -78,7 +78,7 @@
 	return g.admit(engineEndpoint(grant.Name))
 }
 
-// checkAddress returns an error if an address of a service is leaving or has asked for a rest.
+// checkAddress returns an error if an address of a service is leaving or has requested a pause.
 func (g *Gateway) checkAddress(address string) *result.Error {
 	e := notice.Endpoint{Name: address, NameReused: true}
 	if g.cfg.Notices.IsLeaving(clock.Now(), e) {
@@ -95,7 +95,7 @@
 	return g.admit(notice.Endpoint{Name: address, NameReused: true})
 }
 
-// admit counts a request to an endpoint as sent, or returns an error if the endpoint has asked for a rest.
+// admit counts a request to an endpoint as sent, or returns an error if the endpoint has requested a pause.
 func (g *Gateway) admit(e notice.Endpoint) *result.Error {
 	if wait, ok := g.cfg.Notices.AllowRequest(clock.Now(), e); !ok {
 		return restingError(e.Name, wait)
@@ -103,7 +103,7 @@
 	return nil
 }
 
-// isAnnouncedRefusal reports whether an endpoint was skipped because of its own announcement: a rate limit, a rest, or that it is leaving.
+// isAnnouncedRefusal reports whether an endpoint was skipped because of its own announcement: a rate limit, a pause, or that it is leaving.
 // Trying the next endpoint is then routing, not a retry.
 func isAnnouncedRefusal(rerr *result.Error) bool {
 	switch rerr.Code {
@@ -118,9 +118,9 @@
 type refusalSummary struct {
 	// announced counts the errors for which isAnnouncedRefusal is true, others all other errors.
 	announced, others int
-	// resting counts the endpoints that asked for a rest.
+	// resting counts the endpoints that requested a pause.
 	resting int
-	// shortestRest is the shortest remaining rest of these endpoints.
+	// shortestRest is the shortest remaining pause of these endpoints.
 	shortestRest time.Duration
 }
 
@@ -138,8 +138,8 @@
 	}
 }
 
-// finalError returns the error for the caller. If all endpoints that could take the request are resting or leaving,
-// the caller is asked to retry after the shortest rest.
+// finalError returns the error for the caller. If all endpoints that could take the request are paused or leaving,
+// the caller is asked to retry after the shortest pause.
 func (s *refusalSummary) finalError(rerr *result.Error) *result.Error {
 	if s.announced == 0 || s.others > 0 || (rerr != nil && rerr.Code == result.RateLimited) {
 		return rerr
--- a/internal/gather/gather.go
+++ b/internal/gather/gather.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// collectByReceiver waits for more messages during Config.Every and groups them with the first message by receiver.
+// collectByReceiver waits for more messages during Config.BatchWindow and groups them with the first message by receiver.
 func (g *Gatherer[K, T]) collectByReceiver(ctx context.Context, first item[K, T]) map[K][]T {
 	byReceiver := map[K][]T{first.receiver: {first.message}}
 	timer := time.NewTimer(g.cfg.BatchWindow)
--- a/internal/grant/client.go
+++ b/internal/grant/client.go
@@ -34,7 +34,7 @@
 	updateInterval = 25 * time.Millisecond
 	// updateTimeout limits the duration of a call that sends updates.
 	updateTimeout = time.Second
-	// maxAnswerBytes limits the size of the response to an Ask.
+	// maxAnswerBytes limits the size of the response to a Request.
 	maxAnswerBytes = 64 << 10
 )
 
@@ -78,8 +78,8 @@
 
 // Acquire waits for a grant from the owner at address. If it fails, the request has not run and the error is a *result.Error.
 // The code OwnerSilent means that the owner did not send a valid response.
-func (c *Client) Acquire(ctx context.Context, address netip.AddrPort, a Request) (*Grant, error) {
-	body, err := json.Marshal(a)
+func (c *Client) Acquire(ctx context.Context, address netip.AddrPort, request Request) (*Grant, error) {
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, result.New(result.BadRequest, "%v", err)
 	}
@@ -107,7 +107,7 @@
 	}
 	defer httpx.Drain(resp.Body)
 	if w := RateFromHeader(resp.Header); w != nil {
-		c.cfg.Rates.Record(clock.Now(), a.Engine, *w)
+		c.cfg.Rates.Record(clock.Now(), request.Engine, *w)
 	}
 	return c.readAnswer(resp, address)
 }
@@ -127,8 +127,8 @@
 }
 
 // QueueRate queues the rate limit that an engine reported, to be sent to its owner at address.
-func (c *Client) QueueRate(address netip.AddrPort, engine string, w ratelimit.Report) {
-	c.queueUpdate(grantUpdate{address: address, rate: &engineRate{engine, w}})
+func (c *Client) QueueRate(address netip.AddrPort, engine string, report ratelimit.Report) {
+	c.queueUpdate(grantUpdate{address: address, rate: &engineRate{engine, report}})
 }
 
 // readAnswer converts the owner's response to a grant or an error.
--- a/internal/grant/client_test.go
+++ b/internal/grant/client_test.go
@@ -53,9 +53,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			address := startServer(c, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				var a grant.Request
-				c.Check(json.NewDecoder(r.Body).Decode(&a), qt.IsNil)
-				c.Check(a.Engine, qt.Equals, "e-1")
+				var req grant.Request
+				c.Check(json.NewDecoder(r.Body).Decode(&req), qt.IsNil)
+				c.Check(req.Engine, qt.Equals, "e-1")
 				tt.answer(w, r)
 			}))
 			g, err := newClient().Acquire(c.Context(), address, grant.Request{Engine: "e-1"})
--- a/internal/grant/message.go
+++ b/internal/grant/message.go
@@ -46,16 +46,16 @@
 }
 
 // OwnerRequest converts the message to a request for the owner. It fails if Ref is invalid.
-func (a *Request) OwnerRequest(now time.Time) (owner.Request, *result.Error) {
+func (r *Request) OwnerRequest(now time.Time) (owner.Request, *result.Error) {
 	q := owner.Request{
-		Weights: a.Weights, Urgency: a.Urgency, StartBy: now.Add(a.StartIn), Last: a.Last,
-		Prompt: a.Prompt, Output: a.Output, Parts: a.Parts, MaxWait: a.MaxWait, LocalOnly: a.LocalOnly, OthersTooSlow: a.OthersTooSlow,
-		Customer: a.Customer, Rate: a.Rate,
+		Weights: r.Weights, Urgency: r.Urgency, StartBy: now.Add(r.StartIn), Last: r.Last,
+		Prompt: r.Prompt, Output: r.Output, Parts: r.Parts, MaxWait: r.MaxWait, LocalOnly: r.LocalOnly, OthersTooSlow: r.OthersTooSlow,
+		Customer: r.Customer, Rate: r.Rate,
 	}
-	if a.Ref == "" {
+	if r.Ref == "" {
 		return q, nil
 	}
-	ref, err := resource.ParseRef(a.Ref)
+	ref, err := resource.ParseRef(r.Ref)
 	if err != nil {
 		return q, result.New(result.BadRequest, "%v", err)
 	}
@@ -63,7 +63,7 @@
 	return q, nil
 }
 
-// acquireAnswer is the response to an Ask that was granted.
+// acquireAnswer is the response to a Request that was granted.
 type acquireAnswer struct {
 	ID      uint64        `json:"id"`
 	Stalled time.Duration `json:"stalled,omitempty"`
--- a/internal/grant/server.go
+++ b/internal/grant/server.go
@@ -60,16 +60,16 @@
 }
 
 func (s *Server) handleAcquire(w http.ResponseWriter, r *http.Request) {
-	var ask Request
-	if !result.ReadJSON(w, r, maxMessageBytes, &ask) {
+	var req Request
+	if !result.ReadJSON(w, r, maxMessageBytes, &req) {
 		return
 	}
-	runner, ok := s.cfg.Owners.Get(ask.Engine)
+	runner, ok := s.cfg.Owners.Get(req.Engine)
 	if !ok {
-		result.New(result.NotOwner, "%s", ask.Engine).Write(w, "")
+		result.New(result.NotOwner, "%s", req.Engine).Write(w, "")
 		return
 	}
-	q, rerr := ask.OwnerRequest(clock.Now())
+	q, rerr := req.OwnerRequest(clock.Now())
 	if rerr != nil {
 		rerr.Write(w, "")
 		return
@@ -84,16 +84,16 @@
 		g.Release(owner.EndWhole)
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, acquireAnswer{ID: s.hold(g, ask.Hold), Stalled: g.Stalled})
+	httpx.WriteJSON(w, http.StatusOK, acquireAnswer{ID: s.hold(g, req.Hold), Stalled: g.Stalled})
 }
 
 // SetRateHeader sets the response header that contains an engine's rate limit, unless w is nil. The requesting box uses the limit when
 // it can no longer reach this box.
-func SetRateHeader(h http.Header, w *ratelimit.Report) {
-	if w == nil {
+func SetRateHeader(h http.Header, report *ratelimit.Report) {
+	if report == nil {
 		return
 	}
-	encoded, err := json.Marshal(w)
+	encoded, err := json.Marshal(report)
 	if err != nil {
 		klog.ErrorS(err, "rate limit of the engine not encoded; response header omitted")
 		return
--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -108,7 +108,7 @@
 	return resp, eris.Wrap(err, "httpx: send request")
 }
 
-// maxResponseBytes is the maximum size of the response that AskOnce reads.
+// maxResponseBytes is the maximum size of the response that CallOnce reads.
 const maxResponseBytes = 256 << 10
 
 // StatusError is the error of a call that was answered with a status other than 200.
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -170,7 +170,7 @@
 	}
 }
 
-// Acquire writes this box as the holder, with the next epoch. Call it only if Free returns true or this box is the recorded holder.
+// Acquire writes this box as the holder, with the next epoch. Call it only if IsFree returns true or this box is the recorded holder.
 func (l *Lease) Acquire(ctx context.Context) error {
 	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: max(l.record.Epoch, EpochBase(l.version.Era())) + 1})
 }
--- a/internal/loads/loads.go
+++ b/internal/loads/loads.go
@@ -10,7 +10,7 @@
 type Request struct {
 	// Engine is the name of the engine that will load.
 	Engine string `json:"engine"`
-	// Urgency orders the queue: needs with a higher value are granted first.
+	// Urgency orders the queue: requests with a higher value are granted first.
 	Urgency int `json:"urgency"`
 	// StartBy is the latest time at which starting the load is still useful for the first of the waiting requests.
 	StartBy time.Time `json:"start_by"`
@@ -25,7 +25,7 @@
 // Source grants permits. It is an interface because permits come from this box or from another box.
 type Source interface {
 	// Acquire waits for a permit until ctx ends.
-	Acquire(ctx context.Context, n Request) (Permit, error)
+	Acquire(ctx context.Context, req Request) (Permit, error)
 }
 
 // Budget holds the limits of the weight store.
--- a/internal/loads/local.go
+++ b/internal/loads/local.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// grantPermits grants all permits that are available now. It returns the time until the next one, or false if no need waits or
+// grantPermits grants all permits that are available now. It returns the time until the next one, or false if no request waits or
 // only a release can free a permit.
 func (l *Local) grantPermits() (time.Duration, bool) {
 	l.mu.Lock()
@@ -73,13 +73,13 @@
 }
 
 // Acquire implements Source.
-func (l *Local) Acquire(ctx context.Context, n Request) (Permit, error) {
+func (l *Local) Acquire(ctx context.Context, req Request) (Permit, error) {
 	granted := make(chan struct{})
 	l.mu.Lock()
 	l.nextID++
 	id := l.nextID
 	l.grantSignals[id] = granted
-	l.queue.Add(QueuedRequest{ID: id, Request: n, Since: clock.Now()})
+	l.queue.Add(QueuedRequest{ID: id, Request: req, Since: clock.Now()})
 	l.mu.Unlock()
 	l.notifyServe()
 	select {
@@ -90,7 +90,7 @@
 	}
 }
 
-// cancelWait removes a need from the queue. If its permit has been granted in the meantime, it returns the permit unused.
+// cancelWait removes a request from the queue. If its permit has been granted in the meantime, it returns the permit unused.
 func (l *Local) cancelWait(ctx context.Context, id uint64) error {
 	l.mu.Lock()
 	wasWaiting := l.queue.Remove(id)
--- a/internal/loads/queue.go
+++ b/internal/loads/queue.go
@@ -10,14 +10,14 @@
 // in any case.
 const maxBurstSeconds = 1.0
 
-// QueuedRequest is a queued need.
+// QueuedRequest is a queued request.
 type QueuedRequest struct {
 	ID      uint64
 	Request Request
 	Since   time.Time
 }
 
-// Queue decides which need gets the next permit. It limits the rate with a token bucket. It does no I/O and is not safe for
+// Queue decides which request gets the next permit. It limits the rate with a token bucket. It does no I/O and is not safe for
 // concurrent use.
 type Queue struct {
 	budget       func() Budget
@@ -32,7 +32,7 @@
 	return &Queue{budget: b, tokens: 1, lastRefill: now}
 }
 
-// Add inserts a need into the queue. The order is: higher urgency first, then earlier StartBy, then more waiters.
+// Add inserts a request into the queue. The order is: higher urgency first, then earlier StartBy, then more waiters.
 func (q *Queue) Add(w QueuedRequest) {
 	index, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiting)
 	q.waiting = slices.Insert(q.waiting, index, w)
@@ -45,7 +45,7 @@
 	)
 }
 
-// Remove removes a need from the queue and reports whether it was still waiting.
+// Remove removes a request from the queue and reports whether it was still waiting.
 func (q *Queue) Remove(id uint64) bool {
 	lengthBefore := len(q.waiting)
 	q.waiting = slices.DeleteFunc(q.waiting, func(w QueuedRequest) bool { return w.ID == id })
@@ -61,7 +61,7 @@
 	q.tokens++
 }
 
-// Next grants a permit to the first need in the queue and returns that need. It returns false if no permit can be granted now.
+// Next grants a permit to the first request in the queue and returns that request. It returns false if no permit can be granted now.
 func (q *Queue) Next(now time.Time) (QueuedRequest, bool) {
 	q.refill(now)
 	if len(q.waiting) == 0 || q.runningLoads >= q.budget().MaxConcurrent || q.tokens < 1 {
@@ -74,7 +74,7 @@
 	return w, true
 }
 
-// TimeToNext returns the time until Next can grant a permit without a Release; zero or less means now. It returns false if no need
+// TimeToNext returns the time until Next can grant a permit without a Release; zero or less means now. It returns false if no request
 // waits or if only a Release can free a permit.
 func (q *Queue) TimeToNext(now time.Time) (time.Duration, bool) {
 	if len(q.waiting) == 0 || q.runningLoads >= q.budget().MaxConcurrent {
@@ -88,7 +88,7 @@
 	return time.Duration((1-q.tokens)/q.budget().PerSecond*float64(time.Second)) + slack, true
 }
 
-// Len returns the number of waiting needs.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.waiting) }
 
 // refill adds the tokens for the time since the last refill, up to the burst limit.
--- a/internal/loads/shared.go
+++ b/internal/loads/shared.go
@@ -19,7 +19,7 @@
 // Remote requests permits from the scheduler on another box. It is an interface at the network boundary.
 type Remote interface {
 	// AcquirePermit waits until the box at address grants a permit or ctx ends.
-	AcquirePermit(ctx context.Context, address string, n Request) (Permit, error)
+	AcquirePermit(ctx context.Context, address string, req Request) (Permit, error)
 }
 
 // SharedConfig configures a Shared.
@@ -46,13 +46,13 @@
 func NewShared(cfg SharedConfig) *Shared { return &Shared{cfg: cfg} }
 
 // Acquire implements Source.
-func (s *Shared) Acquire(ctx context.Context, n Request) (Permit, error) {
+func (s *Shared) Acquire(ctx context.Context, req Request) (Permit, error) {
 	address, self := s.cfg.Scheduler()
 	if self {
-		return s.cfg.OwnScheduler.Acquire(ctx, n)
+		return s.cfg.OwnScheduler.Acquire(ctx, req)
 	}
 	if address != "" {
-		permit, err := s.cfg.Remote.AcquirePermit(ctx, address, n)
+		permit, err := s.cfg.Remote.AcquirePermit(ctx, address, req)
 		if err == nil {
 			return permit, nil
 		}
@@ -62,5 +62,5 @@
 		}
 	}
 	s.cfg.Scope.Counter("load_permits_fallback").Inc(1)
-	return s.cfg.Fallback.Acquire(ctx, n)
+	return s.cfg.Fallback.Acquire(ctx, req)
 }
--- a/internal/loads/shared_test.go
+++ b/internal/loads/shared_test.go
@@ -25,11 +25,11 @@
 }
 
 // AcquirePermit implements loads.Remote.
-func (s *testSite) AcquirePermit(ctx context.Context, _ string, n loads.Request) (loads.Permit, error) {
+func (s *testSite) AcquirePermit(ctx context.Context, _ string, req loads.Request) (loads.Permit, error) {
 	if s.unreachable.Load() {
 		return nil, errors.New("scheduler is unreachable")
 	}
-	return s.scheduler.Acquire(ctx, n)
+	return s.scheduler.Acquire(ctx, req)
 }
 
 // runBox simulates a box that loads one adapter after the other. Each load takes loadTime.
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -51,7 +51,7 @@
 	return result.New(result.StaleBeat, "%s is not the coordinator of %s", n.cfg.Self.Box, n.cfg.Cell)
 }
 
-// processBeat records a heartbeat and returns the reply without news. The caller holds the lock.
+// processBeat records a heartbeat and returns the reply without updates. The caller holds the lock.
 func (n *Node) processBeat(now time.Time, b coordinator.Beat) (coordinator.Reply, error) {
 	if n.state == nil {
 		return coordinator.Reply{}, n.notCoordinatorError()
--- a/internal/member/coordinate.go
+++ b/internal/member/coordinate.go
@@ -19,7 +19,7 @@
 	"github.com/bellgap/bellgap/internal/quarantine"
 )
 
-// checkLease reads the lease and takes it if it is free.
+// checkLease reads the lease and acquires it if it is free.
 func (n *Node) checkLease(ctx context.Context) {
 	ctx, cancel := n.withStepTimeout(ctx)
 	defer cancel()
@@ -41,7 +41,7 @@
 	}
 	state, err := n.takeLease(ctx)
 	if err != nil {
-		klog.InfoS("could not take the coordinator lease", "cell", n.cfg.Cell, "err", err)
+		klog.InfoS("could not acquire the coordinator lease", "cell", n.cfg.Cell, "err", err)
 	}
 	n.updateLeaseView(state)
 	if state != nil {
@@ -49,13 +49,13 @@
 	}
 }
 
-// takeoverDelay returns how long this box waits before it takes a free lease. Boxes of a better rank go first, so that the members do not
+// takeoverDelay returns how long this box waits before it acquires a free lease. Boxes of a better rank go first, so that the members do not
 // all write at once after the loss of their coordinator.
 func (n *Node) takeoverDelay() time.Duration {
 	return time.Duration(n.candidateRank()) * n.cfg.Timing.Beat
 }
 
-// candidateRank returns how many boxes may take the lease before this one, at most maxCandidates. It returns 0 if no map is known.
+// candidateRank returns how many boxes may acquire the lease before this one, at most maxCandidates. It returns 0 if no map is known.
 func (n *Node) candidateRank() int {
 	m, _, ok := n.cfg.Catalog.Map(n.cfg.Cell)
 	if !ok {
@@ -85,9 +85,9 @@
 	return address, address != "" && address != n.cfg.Self.Peer.String() && hasRecentReply
 }
 
-// takeLease takes the lease and continues from the last map of the cell.
+// takeLease acquires the lease and continues from the last map of the cell.
 func (n *Node) takeLease(ctx context.Context) (*coordinator.State, error) {
-	// If an earlier take was not answered, or the map could not be read after it, the lease already names this box as the holder.
+	// If an earlier acquisition was not answered, or the map could not be read after it, the lease already names this box as the holder.
 	if holder := n.lease.Record().Holder; holder != n.cfg.Self.Box {
 		n.lapsedHolder = holder
 	}
--- a/internal/member/forward.go
+++ b/internal/member/forward.go
@@ -175,7 +175,7 @@
 }
 
 // buildForwardResult returns the result for one box: the coordinator's reply, with the changes that this box has and the other lacks. The
-// reply's store age is at least that of the coordinator's news. It is larger if this box itself lacks some changes.
+// reply's store age is at least that of the coordinator's updates. It is larger if this box itself lacks some changes.
 func (n *Node) buildForwardResult(b coordinator.Beat, a coordinator.Answer, storeAge time.Duration) forwardResult {
 	if a.Code != result.OK {
 		return forwardResult{err: result.New(a.Code, "heartbeat forwarded by %s", n.cfg.Self.Box)}
@@ -190,7 +190,7 @@
 }
 
 // addLocalNews adds the changes that this box knows and the sender of the heartbeat does not, whatever their source.
-func (n *Node) addLocalNews(b coordinator.Beat, news *coordinator.Updates) {
+func (n *Node) addLocalNews(b coordinator.Beat, updates *coordinator.Updates) {
 	m, version, known := n.cfg.Catalog.Map(n.cfg.Cell)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,7 +198,7 @@
 		n.history.Set(m)
 		n.historyVersion = version
 	}
-	n.addNews(b.Known, b.MapGeneration, news)
+	n.addNews(b.Known, b.MapGeneration, updates)
 }
 
 // unreachedReply answers a heartbeat that could not be forwarded. While the coordinator is unreachable, an aggregator reads the store itself
@@ -260,7 +260,7 @@
 	}
 }
 
-// sendDirect sends a heartbeat directly to a box and applies the news in the reply.
+// sendDirect sends a heartbeat directly to a box and applies the updates in the reply.
 func (n *Node) sendDirect(ctx context.Context, address string, b coordinator.Beat) (coordinator.Reply, error) {
 	sentAt := clock.Now()
 	r, err := n.cfg.Peers.Beat(ctx, address, b)
@@ -284,7 +284,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(aggregatorTimeoutBeats*float64(n.cfg.Timing.Beat)))
 	defer cancel()
 	if agg.Box == n.cfg.Self.Box {
-		// forwardBatch has already applied the news.
+		// forwardBatch has already applied the updates.
 		return n.forwardBeat(ctx, b)
 	}
 	b.PassOn = true
--- a/internal/member/lost_test.go
+++ b/internal/member/lost_test.go
@@ -20,7 +20,7 @@
 // maxShownTime is the longest time for which the maps of other boxes may show a lost box, so that callers are still sent to it. It adds up:
 //   - 1.2 s in which the coordinator may not notice the lost box before it is lost itself,
 //   - 1.1 s until the next box checks the lease (a heartbeat and its time limit),
-//   - 2 s for which the lease has to stand unchanged before that box takes it,
+//   - 2 s for which the lease has to stand unchanged before that box acquires it,
 //   - 0.4 s more if the lost box was the first candidate for the lease,
 //   - 0.8 s until the new coordinator hides the boxes that have sent no heartbeat,
 //   - 0.1 s for calls and for the interval between two observations.
@@ -206,7 +206,7 @@
 	}
 }
 
-// TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover covers a box that takes the lease with a write that takes effect without an answer. The
+// TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover covers a box that acquires the lease with a write that takes effect without an answer. The
 // box finds itself as the holder when it tries again. The map must still show the former holder, whose lease expired, as silent.
 func TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover(t *testing.T) {
 	for _, dropTime := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -83,7 +83,7 @@
 }
 
 const (
-	// maxCandidates is how many boxes try to take a free lease one after the other before all others may.
+	// maxCandidates is how many boxes try to acquire a free lease one after the other before all others may.
 	maxCandidates = 3
 	// earlyBeatDivisor divides the heartbeat period: the result is the delay before an early heartbeat.
 	earlyBeatDivisor = 20
@@ -126,7 +126,7 @@
 	beatEpoch  uint64
 	// checkedLeaseEpoch is the newest epoch that a map named and for which this box has checked the lease.
 	checkedLeaseEpoch uint64
-	// lapsedHolder is the box whose lease expired before this box took it. It is cleared once a map of this coordinator is stored.
+	// lapsedHolder is the box whose lease expired before this box acquired it. It is cleared once a map of this coordinator is stored.
 	lapsedHolder string
 	// lastGrants holds the grants of the last reply. lastFullBeat describes the last complete heartbeat that was answered.
 	lastGrants   []coordinator.Ownership
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// nextRoundDelay returns the time to the next round: one heartbeat period, or less if this box may take the lease earlier, or if this box is a
+// nextRoundDelay returns the time to the next round: one heartbeat period, or less if this box may acquire the lease earlier, or if this box is a
 // new coordinator that has to hide the boxes without heartbeats earlier.
 func (n *Node) nextRoundDelay() time.Duration {
 	delay := n.cfg.Timing.Beat - time.Duration(rand.Int64N(int64(n.cfg.Timing.Beat/10)+1))
@@ -104,7 +104,7 @@
 	return frozen && sinceCheck >= n.cfg.Timing.LeaseTTL || n.isTakeoverDue(now)
 }
 
-// isTakeoverDue reports whether this box may take the lease, as far as it knows, and has not checked it since.
+// isTakeoverDue reports whether this box may acquire the lease, as far as it knows, and has not checked it since.
 func (n *Node) isTakeoverDue(now time.Time) bool {
 	if n.candidateRank() >= maxCandidates {
 		return false
@@ -114,7 +114,7 @@
 }
 
 // leaseCheckInterval returns the time between two checks of the lease while the coordinator does not answer. The first candidates for the
-// lease check it in every round. Other boxes wait long enough for a candidate to take the lease, because each check is a billed platform call.
+// lease check it in every round. Other boxes wait long enough for a candidate to acquire the lease, because each check is a billed platform call.
 func (n *Node) leaseCheckInterval() time.Duration {
 	if n.lease.Record().Holder == "" || n.candidateRank() < maxCandidates {
 		return 0
@@ -122,7 +122,7 @@
 	return n.cfg.Timing.LeaseTTL / leaseCheckDivisor
 }
 
-// nextTakeoverTime returns when this box may take the lease of a coordinator that does not answer or cannot renew it. There is no such time
+// nextTakeoverTime returns when this box may acquire the lease of a coordinator that does not answer or cannot renew it. There is no such time
 // if this box is not one of the first candidates or if the time has passed. Waits are cut short at this time: a hanging heartbeat and the
 // delay after it would add up to a second to every takeover, and a coordinator that the store rejects would keep its cell for two lease TTLs.
 func (n *Node) nextTakeoverTime() (time.Time, bool) {
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -20,43 +20,44 @@
 	MaySend(size int) bool
 	// ApplyChanges applies changes that the coordinator has sent.
 	ApplyChanges(changes []objects.KindChanges, storeAge time.Duration)
-	// Confirmations returns the ages of this box's own data. Confirm applies the ages that another box returned to a request sent at askedAt.
+	// Confirmations returns the ages of this box's own data.
 	Confirmations() map[string]objects.Confirmation
+	// ApplyConfirmations applies the ages that another box returned to a request sent at askedAt.
 	ApplyConfirmations(ages map[string]objects.Confirmation, askedAt time.Time)
 }
 
 // addNews adds to a reply the changes that the receiving box does not have yet. The caller holds the lock.
-func (n *Node) addNews(known map[string]objects.Position, knownGeneration int64, news *coordinator.Updates) {
+func (n *Node) addNews(known map[string]objects.Position, knownGeneration int64, updates *coordinator.Updates) {
 	if n.cfg.Spread == nil || known == nil {
 		return
 	}
-	news.Confirmed = n.cfg.Spread.Confirmations()
-	news.Changes, news.StoreAge = n.cfg.Spread.ChangesSince(known)
+	updates.Confirmed = n.cfg.Spread.Confirmations()
+	updates.Changes, updates.StoreAge = n.cfg.Spread.ChangesSince(known)
 	delta, changed := n.history.Since(knownGeneration)
 	// The other box may have a later map than this coordinator: the write of that map may have succeeded without an answer.
 	if !changed {
 		return
 	}
 	if !n.cfg.Spread.MaySend(delta.Size()) {
-		news.Changes = append(news.Changes, objects.KindChanges{Kind: coordinator.MapKind, MustRefetch: true})
+		updates.Changes = append(updates.Changes, objects.KindChanges{Kind: coordinator.MapKind, MustRefetch: true})
 		return
 	}
 	delta.Version = n.historyVersion
-	news.Map = &delta
+	updates.Map = &delta
 }
 
 // applyNews applies the changes in another box's reply to a message that was sent at sentAt.
-func (n *Node) applyNews(news coordinator.Updates, sentAt time.Time) {
+func (n *Node) applyNews(updates coordinator.Updates, sentAt time.Time) {
 	if n.cfg.Spread == nil {
 		return
 	}
-	n.cfg.Spread.ApplyChanges(news.Changes, news.StoreAge)
-	n.cfg.Spread.ApplyConfirmations(news.Confirmed, sentAt)
-	if news.Map == nil {
+	n.cfg.Spread.ApplyChanges(updates.Changes, updates.StoreAge)
+	n.cfg.Spread.ApplyConfirmations(updates.Confirmed, sentAt)
+	if updates.Map == nil {
 		return
 	}
 	current, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
-	m, ok := news.Map.Apply(current)
+	m, ok := updates.Map.Apply(current)
 	if !ok {
 		return
 	}
@@ -66,6 +67,6 @@
 		return
 	}
 	n.cfg.Catalog.Apply(objects.Changes{Objects: []objects.Object{
-		{Kind: coordinator.MapKind, Name: n.cfg.Cell, Version: news.Map.Version, Value: value},
+		{Kind: coordinator.MapKind, Name: n.cfg.Cell, Version: updates.Map.Version, Value: value},
 	}})
 }
--- a/internal/member/unanswered_test.go
+++ b/internal/member/unanswered_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestUnansweredWritesKeepCoordinator covers a slow store: a coordinator's writes take effect without an answer, and it cannot read them back
-// in time. The coordinator used to mistake its own stored state for that of another coordinator. It then gave up, took its own lease again
+// in time. The coordinator used to mistake its own stored state for that of another coordinator. It then gave up, acquired its own lease again
 // as if it were new, and lost the record of which boxes were silent.
 func TestUnansweredWritesKeepCoordinator(t *testing.T) {
 	for _, tt := range []struct {
--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -42,7 +42,7 @@
 type Endpoint struct {
 	Name string
 	// Started is the start time in Unix milliseconds, or zero if unknown. If it is zero, a later incarnation has another name,
-	// unless Reused is set.
+	// unless NameReused is set.
 	Started int64
 	// NameReused reports that a later incarnation may have the same name and that nothing distinguishes the two.
 	NameReused bool
@@ -127,21 +127,21 @@
 }
 
 // RecordNotices records the notices in an answer that this box received from an endpoint.
-func (b *Board) RecordNotices(now time.Time, e Endpoint, w HeaderNotices) {
+func (b *Board) RecordNotices(now time.Time, e Endpoint, notices HeaderNotices) {
 	if b == nil {
 		return
 	}
-	b.reportInvalid(now, e, w.LeavingErr)
-	b.reportInvalid(now, e, w.RetryAfterErr)
-	if w.ClosesConnection {
+	b.reportInvalid(now, e, notices.LeavingErr)
+	b.reportInvalid(now, e, notices.RetryAfterErr)
+	if notices.ClosesConnection {
 		b.cfg.Scope.Counter("answers_closing").Inc(1)
 	}
-	if w.Leaving && b.recordLeaving(e, leavingEntry{e.Started, e.NameReused, now}, now) {
+	if notices.Leaving && b.recordLeaving(e, leavingEntry{e.Started, e.NameReused, now}, now) {
 		b.notifyLeaving(e, true)
 	}
 	switch {
-	case w.RetryAfter > 0:
-		b.recordPause(now, e, w.RetryAfter)
+	case notices.RetryAfter > 0:
+		b.recordPause(now, e, notices.RetryAfter)
 	case b.HasEntries():
 		b.endPause(now, e)
 	}
@@ -171,7 +171,7 @@
 	}
 }
 
-// notifyLeaving calls the Leaves callback, if there is one.
+// notifyLeaving calls the OnLeaving callback, if there is one.
 func (b *Board) notifyLeaving(e Endpoint, direct bool) {
 	if b.cfg.OnLeaving != nil {
 		b.cfg.OnLeaving(e, direct)
@@ -282,7 +282,7 @@
 }
 
 // AllowRequest reports whether a request may be sent to an endpoint now. If so, it counts the request as sent; otherwise it returns the
-// wait, as Rest does.
+// wait, as RemainingPause does.
 func (b *Board) AllowRequest(now time.Time, e Endpoint) (wait time.Duration, ok bool) {
 	if !b.HasEntries() {
 		return 0, true
--- a/internal/notice/headers.go
+++ b/internal/notice/headers.go
@@ -48,15 +48,15 @@
 
 // Read parses the status and the headers of an answer.
 func (n HeaderNames) Read(status int, h http.Header) HeaderNotices {
-	var w HeaderNotices
-	w.Rate, w.RateErr = ratelimit.ParseHeader(h.Values(n.Rate))
-	w.Leaving, w.LeavingErr = parseLeaving(h.Values(n.Leaving))
-	w.ClosesConnection = strings.EqualFold(h.Get("Connection"), "close")
+	var notices HeaderNotices
+	notices.Rate, notices.RateErr = ratelimit.ParseHeader(h.Values(n.Rate))
+	notices.Leaving, notices.LeavingErr = parseLeaving(h.Values(n.Leaving))
+	notices.ClosesConnection = strings.EqualFold(h.Get("Connection"), "close")
 	// With other statuses Retry-After has another meaning, for example when to fetch the result.
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		w.RetryAfter, w.RetryAfterErr = readRetryAfter(h)
+		notices.RetryAfter, notices.RetryAfterErr = readRetryAfter(h)
 	}
-	return w
+	return notices
 }
 
 // parseLeaving reports whether at least one of the header values is true.
--- a/internal/objects/client.go
+++ b/internal/objects/client.go
@@ -126,7 +126,8 @@
 	return nil
 }
 
-// NewTransportError returns the error for a call without a usable response: ErrAnswerLost for a write that was sent, ErrUnavailable for any other call.
+// NewTransportError returns the error for a call without a usable response: ErrOutcomeUnknown for a write that was sent, ErrUnavailable for
+// any other call.
 func NewTransportError(method string, sent bool, err error) error {
 	if method != http.MethodGet && sent {
 		return eris.Wrap(ErrOutcomeUnknown, err.Error())
--- a/internal/owner/bench_test.go
+++ b/internal/owner/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// BenchmarkRequest measures the decisions for one request: Submit, which starts the request at once, and Done.
+// BenchmarkRequest measures the decisions for one request: Submit, which starts the request at once, and FinishTicket.
 func BenchmarkRequest(b *testing.B) {
 	for _, waiting := range []int{0, 16, 128} {
 		b.Run(fmt.Sprintf("waiting=%d", waiting), func(b *testing.B) {
--- a/internal/owner/rate.go
+++ b/internal/owner/rate.go
@@ -13,7 +13,9 @@
 const unauthorizedRateShare = 0.4
 
 // UpdateRate updates the engine's rate limit in requests per second.
-func (s *State) UpdateRate(now time.Time, w *ratelimit.Report) { s.rateLimiter.ApplyReport(now, w) }
+func (s *State) UpdateRate(now time.Time, report *ratelimit.Report) {
+	s.rateLimiter.ApplyReport(now, report)
+}
 
 // Rate returns the engine's rate limit, or nil if it has none.
 func (s *State) Rate(now time.Time) *ratelimit.Report { return s.rateLimiter.CurrentReport(now) }
@@ -22,11 +24,11 @@
 // needs a load from the weight store is admitted only if the limit would otherwise stay unused or if no other engine can start
 // the request.
 func (s *State) checkRate(now time.Time, t Ticket) *result.Error {
-	ask := ratelimit.Request{Urgency: t.Urgency, Customer: t.Customer, Costly: !t.Last && !t.OthersTooSlow && !s.isLocal(t.Ref)}
+	req := ratelimit.Request{Urgency: t.Urgency, Customer: t.Customer, Costly: !t.Last && !t.OthersTooSlow && !s.isLocal(t.Ref)}
 	if t.SharedRate {
-		ask.OwnShare = unauthorizedRateShare
+		req.OwnShare = unauthorizedRateShare
 	}
-	wait, ok := s.rateLimiter.Check(now, ask)
+	wait, ok := s.rateLimiter.Check(now, req)
 	if ok {
 		return nil
 	}
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -195,7 +195,7 @@
 }
 
 // UpdateRate updates the engine's rate limit, as received from the engine or from another box.
-func (r *Runner) UpdateRate(w ratelimit.Report) { r.post(rateReceived{w}) }
+func (r *Runner) UpdateRate(report ratelimit.Report) { r.post(rateReceived{report}) }
 
 // Rate returns the engine's rate limit, or nil if it has none.
 func (r *Runner) Rate() *ratelimit.Report { return r.rate.Load() }
@@ -226,7 +226,7 @@
 	Parts []PromptPart
 	// MaxWait is the longest acceptable expected wait for the first token. Zero accepts any wait.
 	MaxWait time.Duration
-	// LocalOnly requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive Accept.
+	// LocalOnly requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive MaxWait.
 	LocalOnly bool
 	// OthersTooSlow is true if none of the engines tried before can start the request in time. It only affects engines that have a rate
 	// limit or lack their base model.
@@ -252,7 +252,7 @@
 func (g *Grant) RecordFirstToken() { g.runner.post(firstTokenReceived{g.id}) }
 
 // UpdateRate updates the engine's rate limit, as received in the engine's answer.
-func (g *Grant) UpdateRate(w ratelimit.Report) { g.runner.UpdateRate(w) }
+func (g *Grant) UpdateRate(report ratelimit.Report) { g.runner.UpdateRate(report) }
 
 // RecordLeaving records that the engine has announced in its answer that it is leaving.
 func (g *Grant) RecordLeaving() { g.runner.RecordLeaving() }
--- a/internal/peer/client.go
+++ b/internal/peer/client.go
@@ -95,13 +95,13 @@
 var _ loads.Remote = (*Client)(nil)
 
 // AcquirePermit implements loads.Remote.
-func (c *Client) AcquirePermit(ctx context.Context, address string, n loads.Request) (loads.Permit, error) {
+func (c *Client) AcquirePermit(ctx context.Context, address string, req loads.Request) (loads.Permit, error) {
 	wait := maxClientWait
 	if deadline, ok := ctx.Deadline(); ok {
 		wait = min(wait, clock.Until(deadline))
 	}
 	var granted PermitResponse
-	if err := c.call(ctx, address, PathPermit, wait+callTimeout, PermitRequest{n, wait}, &granted); err != nil {
+	if err := c.call(ctx, address, PathPermit, wait+callTimeout, PermitRequest{req, wait}, &granted); err != nil {
 		return nil, err
 	}
 	var once sync.Once
--- a/internal/places/client.go
+++ b/internal/places/client.go
@@ -89,49 +89,49 @@
 
 // Acquire acquires a place for one request. The Place is nil if the request was refused. While no keeper is available, only this
 // box's own share of the endpoint's rate limits the requests.
-func (c *Client) Acquire(ctx context.Context, a Request) (*Place, Refusal) {
-	a.Rate = c.knownRate(a)
-	address, here, ok := c.cfg.Locator.BoxFor(a.Endpoint)
+func (c *Client) Acquire(ctx context.Context, req Request) (*Place, Refusal) {
+	req.Rate = c.knownRate(req)
+	address, here, ok := c.cfg.Locator.BoxFor(req.Endpoint)
 	if !ok || (!here && c.unresponsive.Has(address, clock.Now())) {
-		return c.acquireUncounted(a)
+		return c.acquireUncounted(req)
 	}
 	if here {
-		answer := c.cfg.Keeper.Acquire(clock.Now(), a)
-		return c.placeOrRefusal(a, answer, func(e EndReport) {
+		answer := c.cfg.Keeper.Acquire(clock.Now(), req)
+		return c.placeOrRefusal(req, answer, func(e EndReport) {
 			c.cfg.Keeper.UpdateRate(clock.Now(), e.Endpoint, e.Rate)
 			c.cfg.Keeper.End(e)
 		})
 	}
-	answer, err := c.requestPlace(ctx, address, a)
+	answer, err := c.requestPlace(ctx, address, req)
 	if err != nil {
 		c.cfg.Scope.Counter("places_unanswered").Inc(1)
-		klog.V(2).InfoS("place request to keeper failed; falling back to own share of the rate", "endpoint", a.Endpoint, "keeper", address, "err", err)
-		return c.acquireUncounted(a)
+		klog.V(2).InfoS("place request to keeper failed; falling back to own share of the rate", "endpoint", req.Endpoint, "keeper", address, "err", err)
+		return c.acquireUncounted(req)
 	}
 	if answer.Rate != nil {
-		c.cfg.Rates.Record(clock.Now(), a.Endpoint, *answer.Rate)
+		c.cfg.Rates.Record(clock.Now(), req.Endpoint, *answer.Rate)
 	}
-	return c.placeOrRefusal(a, answer, func(e EndReport) { c.ends.Add(address, e) })
+	return c.placeOrRefusal(req, answer, func(e EndReport) { c.ends.Add(address, e) })
 }
 
 // knownRate returns the latest known rate limit of the endpoint, or nil if none is known.
-func (c *Client) knownRate(a Request) *ratelimit.Report {
+func (c *Client) knownRate(req Request) *ratelimit.Report {
 	if !c.cfg.Rates.HasReports() {
 		return nil
 	}
-	return c.cfg.Rates.LatestReport(clock.Now(), a.Endpoint, a.Started)
+	return c.cfg.Rates.LatestReport(clock.Now(), req.Endpoint, req.Started)
 }
 
 // acquireUncounted acquires a place without a keeper, limited only by this box's own share of the endpoint's rate.
-func (c *Client) acquireUncounted(a Request) (*Place, Refusal) {
-	if wait, ok := c.cfg.Rates.TakeOwnShare(clock.Now(), a.Endpoint, a.Started); !ok {
+func (c *Client) acquireUncounted(req Request) (*Place, Refusal) {
+	if wait, ok := c.cfg.Rates.TakeOwnShare(clock.Now(), req.Endpoint, req.Started); !ok {
 		return nil, Refusal{Wait: wait, RateLimited: true}
 	}
 	return &Place{End: func(time.Duration) {}}, Refusal{}
 }
 
 // placeOrRefusal converts the keeper's answer to a place or a refusal.
-func (c *Client) placeOrRefusal(a Request, answer Answer, end func(EndReport)) (*Place, Refusal) {
+func (c *Client) placeOrRefusal(req Request, answer Answer, end func(EndReport)) (*Place, Refusal) {
 	if !answer.Granted {
 		if answer.RateLimited {
 			c.cfg.Scope.Counter("rate_refused").Inc(1)
@@ -139,16 +139,16 @@
 		return nil, Refusal{Wait: answer.Wait, RateLimited: answer.RateLimited}
 	}
 	return &Place{End: func(latency time.Duration) {
-		end(EndReport{Endpoint: a.Endpoint, ID: answer.ID, Latency: latency, Rate: c.knownRate(a)})
+		end(EndReport{Endpoint: req.Endpoint, ID: answer.ID, Latency: latency, Rate: c.knownRate(req)})
 	}}, Refusal{}
 }
 
 // requestPlace sends the request to the keeper at address. A keeper that does not answer is skipped for unresponsivePeriod.
-func (c *Client) requestPlace(ctx context.Context, address netip.AddrPort, a Request) (Answer, error) {
+func (c *Client) requestPlace(ctx context.Context, address netip.AddrPort, req Request) (Answer, error) {
 	callCtx, cancel := context.WithTimeout(ctx, acquireTimeout)
 	defer cancel()
 	var answer Answer
-	err := httpx.CallOnce(callCtx, c.cfg.HTTP, "http://"+address.String()+pathAcquire, a, &answer)
+	err := httpx.CallOnce(callCtx, c.cfg.HTTP, "http://"+address.String()+pathAcquire, req, &answer)
 	if httpx.IsUnanswered(err) && ctx.Err() == nil {
 		c.unresponsive.Add(address, clock.Now())
 	}
--- a/internal/places/keeper.go
+++ b/internal/places/keeper.go
@@ -45,10 +45,10 @@
 	Rate    *ratelimit.Report `json:"rate,omitempty"`
 }
 
-// UnlimitedSlots is the value of Ask.Slots for endpoints that do not declare how many requests they run at the same time.
+// UnlimitedSlots is the value of Request.Slots for endpoints that do not declare how many requests they run at the same time.
 const UnlimitedSlots = math.MaxInt32
 
-// Answer is the response to an Ask. It grants a place or contains the wait before the next attempt.
+// Answer is the response to a Request. It grants a place or contains the wait before the next attempt.
 type Answer struct {
 	Granted bool   `json:"granted"`
 	ID      uint64 `json:"id,omitempty"`
@@ -86,7 +86,7 @@
 	serviceTime time.Duration
 	// retryTurns spreads the retries of refused requests over time.
 	retryTurns turn.RetrySchedule
-	// limiter enforces the requests per second that the endpoint reports as its limit. The keeper receives the limit in the Ask
+	// limiter enforces the requests per second that the endpoint reports as its limit. The keeper receives the limit in the Request
 	// and EndReport messages, so the limit needs no messages of its own. It also applies to boxes that don't know it.
 	limiter ratelimit.Limiter
 }
@@ -106,36 +106,36 @@
 
 // Acquire grants a place if the endpoint has a free slot or its response is expected in time, and if its rate limit allows the
 // request.
-func (k *Keeper) Acquire(now time.Time, a Request) Answer {
+func (k *Keeper) Acquire(now time.Time, req Request) Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	c := k.getOrCreate(now, a.Endpoint)
-	c.limiter.SetStart(a.Started)
-	c.limiter.ApplyReport(now, a.Rate)
-	c.slots = max(1, a.Slots)
+	c := k.getOrCreate(now, req.Endpoint)
+	c.limiter.SetStart(req.Started)
+	c.limiter.ApplyReport(now, req.Rate)
+	c.slots = max(1, req.Slots)
 	c.expirePlaces(now)
 	concurrency := len(c.held) + 1
-	if concurrency > c.slots && !c.isInTime(concurrency, a.MaxLatency) {
+	if concurrency > c.slots && !c.isInTime(concurrency, req.MaxLatency) {
 		interval := c.serviceTime / time.Duration(c.slots)
 		return Answer{Wait: max(c.serviceTime, c.retryTurns.NextDelay(now, interval, maxWait)), Rate: c.limiter.CurrentReport(now)}
 	}
-	if wait, ok := c.limiter.Check(now, ratelimit.Request{Urgency: a.Urgency, Customer: a.Customer}); !ok {
+	if wait, ok := c.limiter.Check(now, ratelimit.Request{Urgency: req.Urgency, Customer: req.Customer}); !ok {
 		return Answer{Wait: wait, RateLimited: true, Rate: c.limiter.CurrentReport(now)}
 	}
-	c.limiter.Use(now, a.Customer)
+	c.limiter.Use(now, req.Customer)
 	k.nextID++
-	c.held[k.nextID] = place{expiresAt: now.Add(min(max(a.Hold, 0), maxHold)), concurrency: concurrency}
+	c.held[k.nextID] = place{expiresAt: now.Add(min(max(req.Hold, 0), maxHold)), concurrency: concurrency}
 	return Answer{Granted: true, ID: k.nextID, Rate: c.limiter.CurrentReport(now)}
 }
 
 // UpdateRate records the rate limit that an endpoint reported. A nil limit is ignored.
-func (k *Keeper) UpdateRate(now time.Time, endpoint string, w *ratelimit.Report) {
-	if w == nil {
+func (k *Keeper) UpdateRate(now time.Time, endpoint string, report *ratelimit.Report) {
+	if report == nil {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.getOrCreate(now, endpoint).limiter.ApplyReport(now, w)
+	k.getOrCreate(now, endpoint).limiter.ApplyReport(now, report)
 }
 
 // isInTime reports whether the response is expected within maxLatency if concurrency requests are at the endpoint.
--- a/internal/places/keeper_test.go
+++ b/internal/places/keeper_test.go
@@ -127,12 +127,12 @@
 func TestRefusedRequestsRetryAtDifferentTimes(t *testing.T) {
 	c := qt.New(t)
 	k := NewKeeper(0)
-	ask := Request{Endpoint: "e", Slots: slotCount, MaxLatency: maxLatency, Hold: time.Minute}
-	first := k.Acquire(base, ask)
+	req := Request{Endpoint: "e", Slots: slotCount, MaxLatency: maxLatency, Hold: time.Minute}
+	first := k.Acquire(base, req)
 	k.End(EndReport{Endpoint: "e", ID: first.ID, Latency: 60 * time.Millisecond})
 	waits := map[time.Duration]bool{}
 	for range 100 {
-		if a := k.Acquire(base, ask); !a.Granted {
+		if a := k.Acquire(base, req); !a.Granted {
 			waits[a.Wait] = true
 			c.Check(a.Wait > 0 && a.Wait <= maxWait, qt.IsTrue)
 		}
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -32,11 +32,11 @@
 }
 
 func (s *Server) handleTake(w http.ResponseWriter, r *http.Request) {
-	var a Request
-	if !result.ReadJSON(w, r, maxMessageBytes, &a) {
+	var req Request
+	if !result.ReadJSON(w, r, maxMessageBytes, &req) {
 		return
 	}
-	httpx.WriteJSON(w, http.StatusOK, s.cfg.Keeper.Acquire(clock.Now(), a))
+	httpx.WriteJSON(w, http.StatusOK, s.cfg.Keeper.Acquire(clock.Now(), req))
 }
 
 func (s *Server) handleEnd(w http.ResponseWriter, r *http.Request) {
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -21,7 +21,7 @@
 	// liftedRetention is how long a box stores the report that an endpoint has no rate limit any more, so that it can inform
 	// boxes that still apply the limit.
 	liftedRetention = 30 * time.Second
-	// maxEntries limits the endpoints in a Book, which take about 200 bytes each. When it is reached, a new endpoint replaces the
+	// maxEntries limits the endpoints in a Registry, which take about 200 bytes each. When it is reached, a new endpoint replaces the
 	// one with the oldest report.
 	maxEntries = 4096
 	// changeLogInterval is the minimum time between two log lines about changes of one endpoint's rate.
@@ -62,7 +62,7 @@
 	return w
 }
 
-// RegistryConfig configures a Book.
+// RegistryConfig configures a Registry.
 type RegistryConfig struct {
 	// Boxes returns the number of boxes in the system.
 	Boxes func() int
@@ -70,7 +70,7 @@
 }
 
 // Registry stores the latest rate reports of endpoints that one box has received.
-// A nil Book acts as an empty one in all methods, except those that schedule retries and list limits.
+// A nil Registry acts as an empty one in all methods, except those that schedule retries and list limits.
 type Registry struct {
 	cfg RegistryConfig
 	// recentlyIgnored contains the endpoints whose invalid rates were logged within ignoredLogInterval.
@@ -90,7 +90,7 @@
 
 // retrySchedule spreads the retries of a service's refused requests according to the rates of its endpoints.
 type retrySchedule struct {
-	// turns assigns the waits, one behind the other.
+	// turns assigns the retry times, one after the other.
 	turns turn.RetrySchedule
 	// rateSum is the number of requests per second that all endpoints together accepted at summedAt.
 	rateSum  float64
@@ -106,106 +106,106 @@
 	ownLimiter Limiter
 }
 
-// NewRegistry returns a Book without any reports.
+// NewRegistry returns a Registry without any reports.
 func NewRegistry(cfg RegistryConfig) *Registry {
 	return &Registry{cfg: cfg, recentlyIgnored: recent.New[string](ignoredLogInterval), entries: map[string]*entry{}, retrySchedules: map[string]*retrySchedule{}, logLimit: logline.Limit{Most: maxLinesPerSecond}}
 }
 
-// HasReports reports whether the Book contains at least one endpoint.
-func (b *Registry) HasReports() bool { return b != nil && b.size.Load() > 0 }
+// HasReports reports whether the Registry contains at least one endpoint.
+func (r *Registry) HasReports() bool { return r != nil && r.size.Load() > 0 }
 
 // Record stores a rate report that came from the endpoint or from another box. It returns whether the keeper of the endpoint must
 // be informed. This is the case if the report contains a limit, or if another box may still apply a limit that is no longer in
 // force.
-func (b *Registry) Record(now time.Time, endpoint string, w Report) bool {
-	if b == nil || (!w.Limited && !b.HasReports()) {
+func (r *Registry) Record(now time.Time, endpoint string, report Report) bool {
+	if r == nil || (!report.Limited && !r.HasReports()) {
 		return false
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[endpoint]
-	if e == nil && !w.Limited {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	e := r.entries[endpoint]
+	if e == nil && !report.Limited {
 		return false
 	}
-	next := w.toObservation(now)
+	next := report.toObservation(now)
 	if e == nil {
-		e = b.addEntry(endpoint)
+		e = r.addEntry(endpoint)
 	} else if !next.isNewer(e.observation) {
 		return true
 	}
-	b.logChange(now, endpoint, e, next)
+	r.logChange(now, endpoint, e, next)
 	e.observation = next
-	if now.Sub(b.lastPruned) >= time.Second {
-		b.prune(now)
+	if now.Sub(r.lastPruned) >= time.Second {
+		r.prune(now)
 	}
 	return true
 }
 
 // RecordInvalid counts and logs that an endpoint reported an invalid rate. The previous report of the endpoint stays in force.
-func (b *Registry) RecordInvalid(now time.Time, endpoint string, err error) {
-	if b == nil {
+func (r *Registry) RecordInvalid(now time.Time, endpoint string, err error) {
+	if r == nil {
 		return
 	}
-	b.cfg.Scope.Counter("rates_ignored").Inc(1)
-	if b.recentlyIgnored.Has(endpoint, now) {
+	r.cfg.Scope.Counter("rates_ignored").Inc(1)
+	if r.recentlyIgnored.Has(endpoint, now) {
 		return
 	}
-	b.recentlyIgnored.Add(endpoint, now)
+	r.recentlyIgnored.Add(endpoint, now)
 	klog.ErrorS(err, "invalid rate limit reported by endpoint; ignored", "endpoint", endpoint)
 }
 
 // logChange logs the difference between the stored report and the next one.
-func (b *Registry) logChange(now time.Time, endpoint string, e *entry, next observation) {
+func (r *Registry) logChange(now time.Time, endpoint string, e *entry, next observation) {
 	switch {
 	case next.Limited && (!e.Limited || next.Started > e.Started):
 		e.limitedSince, e.lastLogged = next.at, now
-		b.cfg.Scope.Counter("rates_named").Inc(1)
-		b.logLimit.Info(now, "endpoint reports a rate limit", "endpoint", endpoint, "rate", next.Rate, "age", now.Sub(next.at))
+		r.cfg.Scope.Counter("rates_named").Inc(1)
+		r.logLimit.Info(now, "endpoint reports a rate limit", "endpoint", endpoint, "rate", next.Rate, "age", now.Sub(next.at))
 	case !next.Limited && e.Limited:
-		b.cfg.Scope.Counter("rates_lifted").Inc(1)
-		b.logLimit.Info(now, "endpoint no longer reports a rate limit", "endpoint", endpoint, "rate", e.Rate, "for", now.Sub(e.limitedSince), "age", now.Sub(next.at))
+		r.cfg.Scope.Counter("rates_lifted").Inc(1)
+		r.logLimit.Info(now, "endpoint no longer reports a rate limit", "endpoint", endpoint, "rate", e.Rate, "for", now.Sub(e.limitedSince), "age", now.Sub(next.at))
 	case next.Limited && next.Rate != e.Rate && now.Sub(e.lastLogged) >= changeLogInterval:
 		e.lastLogged = now
-		b.logLimit.Info(now, "endpoint changed its rate limit", "endpoint", endpoint, "rate", next.Rate, "before", e.Rate, "age", now.Sub(next.at))
+		r.logLimit.Info(now, "endpoint changed its rate limit", "endpoint", endpoint, "rate", next.Rate, "before", e.Rate, "age", now.Sub(next.at))
 	}
 }
 
-// addEntry adds an empty entry. If the Book is full, it first removes the entry with the oldest report.
-func (b *Registry) addEntry(endpoint string) *entry {
-	if len(b.entries) >= maxEntries {
+// addEntry adds an empty entry. If the Registry is full, it first removes the entry with the oldest report.
+func (r *Registry) addEntry(endpoint string) *entry {
+	if len(r.entries) >= maxEntries {
 		oldest := ""
-		for name, e := range b.entries {
-			if oldest == "" || e.at.Before(b.entries[oldest].at) {
+		for name, e := range r.entries {
+			if oldest == "" || e.at.Before(r.entries[oldest].at) {
 				oldest = name
 			}
 		}
-		delete(b.entries, oldest)
+		delete(r.entries, oldest)
 	}
 	e := &entry{}
-	b.entries[endpoint] = e
-	b.size.Store(int64(len(b.entries)))
+	r.entries[endpoint] = e
+	r.size.Store(int64(len(r.entries)))
 	return e
 }
 
 // prune removes the endpoints that have had no rate limit for liftedRetention.
-func (b *Registry) prune(now time.Time) {
-	b.lastPruned = now
-	for name, e := range b.entries {
+func (r *Registry) prune(now time.Time) {
+	r.lastPruned = now
+	for name, e := range r.entries {
 		if !e.Limited && now.Sub(e.at) >= liftedRetention {
-			delete(b.entries, name)
+			delete(r.entries, name)
 		}
 	}
-	b.size.Store(int64(len(b.entries)))
+	r.size.Store(int64(len(r.entries)))
 }
 
 // LatestReport returns the latest report of an endpoint since its start, or nil if there is none. A report from before started is void.
-func (b *Registry) LatestReport(now time.Time, endpoint string, started int64) *Report {
-	if !b.HasReports() {
+func (r *Registry) LatestReport(now time.Time, endpoint string, started int64) *Report {
+	if !r.HasReports() {
 		return nil
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[endpoint]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	e := r.entries[endpoint]
 	if e == nil || e.Started < started {
 		return nil
 	}
@@ -216,45 +216,45 @@
 // TakeOwnShare reports whether a request fits in this box's own share of an endpoint's rate, and consumes a part of the share if it
 // does. It is used while the keeper of the endpoint cannot be reached. Without a rate limit all requests are allowed. If the
 // share is used up, wait is the time after which the request may be retried.
-func (b *Registry) TakeOwnShare(now time.Time, endpoint string, started int64) (wait time.Duration, ok bool) {
-	word := b.LatestReport(now, endpoint, started)
-	if word == nil || !word.Limited {
+func (r *Registry) TakeOwnShare(now time.Time, endpoint string, started int64) (wait time.Duration, ok bool) {
+	report := r.LatestReport(now, endpoint, started)
+	if report == nil || !report.Limited {
 		return 0, true
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.entries[endpoint]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	e := r.entries[endpoint]
 	if e == nil {
 		return 0, true
 	}
-	e.ownLimiter.ApplyReport(now, word)
-	if wait, ok = e.ownLimiter.Check(now, Request{OwnShare: ownShareTotal / float64(max(1, b.cfg.Boxes()))}); ok {
+	e.ownLimiter.ApplyReport(now, report)
+	if wait, ok = e.ownLimiter.Check(now, Request{OwnShare: ownShareTotal / float64(max(1, r.cfg.Boxes()))}); ok {
 		e.ownLimiter.Use(now, "")
 	}
-	b.cfg.Scope.Tagged(map[string]string{"sent": strconv.FormatBool(ok)}).Counter("rate_own_share").Inc(1)
+	r.cfg.Scope.Tagged(map[string]string{"sent": strconv.FormatBool(ok)}).Counter("rate_own_share").Inc(1)
 	return wait, ok
 }
 
 // RetryAfter returns the time after which a request may be retried that was refused because of the rate limits of all endpoints of
 // a service. The wait is at least earliest, up to maxWait. Each box spreads its own retries over an equal part of the endpoints'
 // total rate. All boxes together thus receive as many retries as the endpoints accept, without messages between the boxes.
-func (b *Registry) RetryAfter(now time.Time, service string, endpoints func() []string, earliest time.Duration) time.Duration {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	schedule := b.retrySchedules[service]
+func (r *Registry) RetryAfter(now time.Time, service string, endpoints func() []string, earliest time.Duration) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	schedule := r.retrySchedules[service]
 	if schedule == nil {
-		if len(b.retrySchedules) >= maxServices {
-			clear(b.retrySchedules)
+		if len(r.retrySchedules) >= maxServices {
+			clear(r.retrySchedules)
 		}
 		schedule = &retrySchedule{}
-		b.retrySchedules[service] = schedule
+		r.retrySchedules[service] = schedule
 	}
 	if now.Sub(schedule.summedAt) >= sumInterval {
-		schedule.rateSum, schedule.summedAt = b.sumRates(endpoints()), now
+		schedule.rateSum, schedule.summedAt = r.sumRates(endpoints()), now
 	}
 	interval := maxWait
 	if schedule.rateSum > 0 {
-		interval = cappedSeconds(float64(max(1, b.cfg.Boxes())) / schedule.rateSum)
+		interval = cappedSeconds(float64(max(1, r.cfg.Boxes())) / schedule.rateSum)
 	}
 	if wait := schedule.turns.NextDelay(now, interval, maxWait); wait+interval < maxWait {
 		return max(min(earliest, maxWait), time.Millisecond) + wait
@@ -265,10 +265,10 @@
 }
 
 // sumRates returns the number of requests per second that all the endpoints together accept.
-func (b *Registry) sumRates(endpoints []string) float64 {
+func (r *Registry) sumRates(endpoints []string) float64 {
 	total := 0.0
 	for _, name := range endpoints {
-		if e := b.entries[name]; e != nil && e.Limited {
+		if e := r.entries[name]; e != nil && e.Limited {
 			total += e.effectiveRate()
 		}
 	}
@@ -286,11 +286,11 @@
 }
 
 // Limits returns the current rate limits, sorted by endpoint.
-func (b *Registry) Limits(now time.Time) []Limit {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Registry) Limits(now time.Time) []Limit {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var all []Limit
-	for name, e := range b.entries {
+	for name, e := range r.entries {
 		if e.Limited {
 			all = append(all, Limit{Endpoint: name, Rate: e.Rate, LimitedFor: now.Sub(e.limitedSince), Age: now.Sub(e.at)})
 		}
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -15,31 +15,31 @@
 
 func TestBookKeepsLatestWord(t *testing.T) {
 	c := qt.New(t)
-	b := newBook(3)
-	c.Check(b.Record(base, "e", Report{}), qt.IsFalse, qt.Commentf("neither this report nor an earlier one has a limit"))
-	c.Check(b.LatestReport(base, "e", 0), qt.IsNil)
-	c.Check(b.Record(base, "e", *limitedWord(1.9, 5)), qt.IsTrue)
+	registry := newBook(3)
+	c.Check(registry.Record(base, "e", Report{}), qt.IsFalse, qt.Commentf("neither this report nor an earlier one has a limit"))
+	c.Check(registry.LatestReport(base, "e", 0), qt.IsNil)
+	c.Check(registry.Record(base, "e", *limitedWord(1.9, 5)), qt.IsTrue)
 	later := base.Add(time.Second)
-	c.Check(b.LatestReport(later, "e", 5), qt.DeepEquals, &Report{Limited: true, Rate: 1.9, Started: 5, Age: time.Second})
-	c.Check(b.LatestReport(later, "e", 6), qt.IsNil, qt.Commentf("the endpoint has restarted since the report"))
-	c.Check(b.Limits(later), qt.DeepEquals, []Limit{{Endpoint: "e", Rate: 1.9, LimitedFor: time.Second, Age: time.Second}})
-	c.Check(b.Record(later, "e", Report{Started: 5}), qt.IsTrue, qt.Commentf("other boxes may still apply the limit"))
-	c.Check(b.Limits(later), qt.HasLen, 0)
-	c.Check(b.Record(later, "e", Report{Limited: true, Rate: 1, Started: 5, Age: 500 * time.Millisecond}), qt.IsTrue)
-	c.Check(b.Limits(later), qt.HasLen, 0, qt.Commentf("the report is older than the stored one"))
-	b.Record(later.Add(liftedRetention), "other", *limitedWord(1, 0))
-	c.Check(b.LatestReport(later.Add(liftedRetention), "e", 5), qt.IsNil, qt.Commentf("forgotten"))
+	c.Check(registry.LatestReport(later, "e", 5), qt.DeepEquals, &Report{Limited: true, Rate: 1.9, Started: 5, Age: time.Second})
+	c.Check(registry.LatestReport(later, "e", 6), qt.IsNil, qt.Commentf("the endpoint has restarted since the report"))
+	c.Check(registry.Limits(later), qt.DeepEquals, []Limit{{Endpoint: "e", Rate: 1.9, LimitedFor: time.Second, Age: time.Second}})
+	c.Check(registry.Record(later, "e", Report{Started: 5}), qt.IsTrue, qt.Commentf("other boxes may still apply the limit"))
+	c.Check(registry.Limits(later), qt.HasLen, 0)
+	c.Check(registry.Record(later, "e", Report{Limited: true, Rate: 1, Started: 5, Age: 500 * time.Millisecond}), qt.IsTrue)
+	c.Check(registry.Limits(later), qt.HasLen, 0, qt.Commentf("the report is older than the stored one"))
+	registry.Record(later.Add(liftedRetention), "other", *limitedWord(1, 0))
+	c.Check(registry.LatestReport(later.Add(liftedRetention), "e", 5), qt.IsNil, qt.Commentf("forgotten"))
 }
 
 func TestBookSizeIsLimited(t *testing.T) {
 	c := qt.New(t)
-	b := newBook(3)
+	registry := newBook(3)
 	for i := range maxEntries + 100 {
-		b.Record(base.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), *limitedWord(1, 0))
+		registry.Record(base.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), *limitedWord(1, 0))
 	}
-	c.Check(len(b.entries), qt.Equals, maxEntries)
-	c.Check(b.LatestReport(base, "0", 0), qt.IsNil)
-	c.Check(b.LatestReport(base, fmt.Sprint(maxEntries+99), 0), qt.IsNotNil)
+	c.Check(len(registry.entries), qt.Equals, maxEntries)
+	c.Check(registry.LatestReport(base, "0", 0), qt.IsNil)
+	c.Check(registry.LatestReport(base, fmt.Sprint(maxEntries+99), 0), qt.IsNotNil)
 }
 
 // TestRetriesAreSpreadOverTheRate sends 100 requests at once to five endpoints that accept two requests per second each. Retries
@@ -53,12 +53,12 @@
 		names = append(names, fmt.Sprint(n))
 	}
 	for range boxes {
-		b := newBook(boxes)
+		registry := newBook(boxes)
 		for _, name := range names {
-			b.Record(base, name, *limitedWord(2, 0))
+			registry.Record(base, name, *limitedWord(2, 0))
 		}
 		for range 100 / boxes {
-			retriesPerSecond[int(b.RetryAfter(base, "s", func() []string { return names }, 100*time.Millisecond).Seconds())]++
+			retriesPerSecond[int(registry.RetryAfter(base, "s", func() []string { return names }, 100*time.Millisecond).Seconds())]++
 		}
 	}
 	c.Logf("retries in each second: %v", retriesPerSecond)
@@ -70,19 +70,19 @@
 
 // BenchmarkBookWithoutRates measures the cost per request while no endpoint has a rate limit.
 func BenchmarkBookWithoutRates(b *testing.B) {
-	book := newBook(3)
+	registry := newBook(3)
 	for b.Loop() {
-		book.LatestReport(base, "e", 1)
-		book.Record(base, "e", Report{Started: 1})
+		registry.LatestReport(base, "e", 1)
+		registry.Record(base, "e", Report{Started: 1})
 	}
 }
 
 // BenchmarkBook measures the cost per request to an endpoint that has a rate limit.
 func BenchmarkBook(b *testing.B) {
-	book := newBook(3)
-	book.Record(base, "e", *limitedWord(1, 1))
+	registry := newBook(3)
+	registry.Record(base, "e", *limitedWord(1, 1))
 	for b.Loop() {
-		book.LatestReport(base, "e", 1)
-		book.Record(base, "e", *limitedWord(1, 1))
+		registry.LatestReport(base, "e", 1)
+		registry.Record(base, "e", *limitedWord(1, 1))
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -67,11 +67,11 @@
 
 // ApplyReport applies a report of the endpoint if it is newer than the previous one. A new limit starts without tokens, because the box
 // that counted the requests before may have just used all of them.
-func (l *Limiter) ApplyReport(now time.Time, w *Report) {
-	if w == nil {
+func (l *Limiter) ApplyReport(now time.Time, report *Report) {
+	if report == nil {
 		return
 	}
-	next := w.toObservation(now)
+	next := report.toObservation(now)
 	if next.Started < l.started || !next.isNewer(l.observed) {
 		return
 	}
@@ -120,13 +120,13 @@
 
 // Check reports whether a request may be sent. If it may not, wait is the time until enough tokens will be available. Check does
 // not consume a token; Use does.
-func (l *Limiter) Check(now time.Time, a Request) (wait time.Duration, ok bool) {
+func (l *Limiter) Check(now time.Time, req Request) (wait time.Duration, ok bool) {
 	if !l.observed.Limited {
 		return 0, true
 	}
-	l.setOwnShare(now, a.OwnShare)
-	l.recordRequest(now, a)
-	missingTokens := l.requiredTokens(now, a) - l.tokens
+	l.setOwnShare(now, req.OwnShare)
+	l.recordRequest(now, req)
+	missingTokens := l.requiredTokens(now, req) - l.tokens
 	if missingTokens <= 0 {
 		return 0, true
 	}
@@ -190,20 +190,20 @@
 }
 
 // recordRequest records the urgency and the customer of a new request.
-func (l *Limiter) recordRequest(now time.Time, a Request) {
-	if a.Urgency >= l.highestUrgency || !now.Before(l.urgentUntil) {
-		l.highestUrgency, l.urgentUntil = a.Urgency, now.Add(urgentPeriod)
+func (l *Limiter) recordRequest(now time.Time, req Request) {
+	if req.Urgency >= l.highestUrgency || !now.Before(l.urgentUntil) {
+		l.highestUrgency, l.urgentUntil = req.Urgency, now.Add(urgentPeriod)
 	}
-	l.shares.recordDemand(now, a.Customer)
+	l.shares.recordDemand(now, req.Customer)
 }
 
 // requiredTokens returns the number of tokens that must be available before a request may be sent. A costly request requires the
 // full capacity. A request requires one token less if urgent requests or other customers take precedence over it.
-func (l *Limiter) requiredTokens(now time.Time, a Request) float64 {
+func (l *Limiter) requiredTokens(now time.Time, req Request) float64 {
 	switch {
-	case a.Costly:
+	case req.Costly:
 		return l.capacity()
-	case a.Urgency < l.highestUrgency || l.shares.isOverShare(now, a.Customer):
+	case req.Urgency < l.highestUrgency || l.shares.isOverShare(now, req.Customer):
 		return max(1, l.capacity()-1)
 	default:
 		return 1
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -46,10 +46,10 @@
 }
 
 // tryUse checks whether a request is allowed, and consumes a token if it is.
-func tryUse(l *Limiter, now time.Time, a Request) bool {
-	_, ok := l.Check(now, a)
+func tryUse(l *Limiter, now time.Time, req Request) bool {
+	_, ok := l.Check(now, req)
 	if ok {
-		l.Use(now, a.Customer)
+		l.Use(now, req.Customer)
 	}
 	return ok
 }
@@ -241,9 +241,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.05, 20).Draw(t, "rate")
 		boxes := rapid.IntRange(2, 40).Draw(t, "boxes")
-		word := limitedWord(rate, 0)
+		report := limitedWord(rate, 0)
 		keeper, others := &Limiter{}, make([]Limiter, boxes)
-		keeper.ApplyReport(base, word)
+		keeper.ApplyReport(base, report)
 		var sentAt []time.Time
 		now := base
 		for range rapid.IntRange(1, 12).Draw(t, "losses") {
@@ -256,14 +256,14 @@
 			}
 			for until := now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap ms")) * time.Millisecond); now.Before(until); now = now.Add(50 * time.Millisecond) {
 				for i := range others {
-					others[i].ApplyReport(now, word)
+					others[i].ApplyReport(now, report)
 					if tryUse(&others[i], now, Request{OwnShare: ownShareTotal / float64(boxes)}) {
 						sentAt = append(sentAt, now)
 					}
 				}
 			}
 			keeper = &Limiter{}
-			keeper.ApplyReport(now, word)
+			keeper.ApplyReport(now, report)
 		}
 		if maxPerWindow(sentAt) > allowedPerWindow(rate) {
 			t.Fatalf("%d requests in %v, allowed %d", maxPerWindow(sentAt), window, allowedPerWindow(rate))
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -26,16 +26,16 @@
 }
 
 // effectiveRate returns the number of requests per second to send. It is never zero, so that each limit is probed again.
-func (w Report) effectiveRate() float64 {
-	if w.Rate == 0 {
+func (r Report) effectiveRate() float64 {
+	if r.Rate == 0 {
 		return 1 / zeroRateInterval.Seconds()
 	}
-	return max(w.Rate, 1/maxProbeInterval.Seconds())
+	return max(r.Rate, 1/maxProbeInterval.Seconds())
 }
 
 // toObservation replaces the age of a report with a time on this box's clock.
-func (w Report) toObservation(now time.Time) observation {
-	o := observation{Report: w, at: now.Add(-w.Age)}
+func (r Report) toObservation(now time.Time) observation {
+	o := observation{Report: r, at: now.Add(-r.Age)}
 	o.Age = 0
 	return o
 }
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -108,8 +108,8 @@
 			return nil, rerr
 		}
 	}
-	ask := r.newAsk(q, ref)
-	ask.MaxWait, ask.LocalOnly = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.IsEnabled(policy.CopyLimit)
+	req := r.newAsk(q, ref)
+	req.MaxWait, req.LocalOnly = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.IsEnabled(policy.CopyLimit)
 	offers := r.newOffers(q)
 	lastErr := result.New(result.NoEngine, "%s of %s", q.head.Model, q.service)
 	asked := 0
@@ -119,8 +119,8 @@
 			break
 		}
 		c := &candidates[i]
-		ask.OthersTooSlow = offers.noneInTime() && i >= min(pressedAfter, len(candidates)-1)
-		engine, rerr := r.acquireGrant(ctx, q, c, ask)
+		req.OthersTooSlow = offers.noneInTime() && i >= min(pressedAfter, len(candidates)-1)
+		engine, rerr := r.acquireGrant(ctx, q, c, req)
 		if rerr == nil {
 			return engine, nil
 		}
@@ -131,7 +131,7 @@
 			// An engine that is skipped for its rate does not count towards maxCandidates.
 			c.rateExhausted, avoid[c.name] = true, true
 			q.addRateLimited(rerr)
-			if c.holdsVersion || ask.OthersTooSlow {
+			if c.holdsVersion || req.OthersTooSlow {
 				// Otherwise the refusal may be due to an adapter that would have to be loaded, which does not affect other
 				// requests.
 				r.markRateExhausted(q, c.name)
@@ -148,7 +148,7 @@
 		r.crowdedRefs.Add(ref, clock.Now())
 	}
 	if best := offers.best(); best != nil {
-		engine, rerr := r.acceptOffer(ctx, q, best, ask)
+		engine, rerr := r.acceptOffer(ctx, q, best, req)
 		if rerr != nil && isOfferWithdrawn(rerr) {
 			avoid[best.candidate.name] = true
 		}
@@ -170,14 +170,14 @@
 
 // acceptOffer waits for the grant of the engine with the best offer. It refuses the request at once if the engine is
 // not expected to start the request in its time.
-func (r *Relay) acceptOffer(ctx context.Context, q *request, best *offer, ask grant.Request) (*chosenEngine, *result.Error) {
-	if ask.StartIn < best.wait && r.cfg.Policy.IsEnabled(policy.Admission) {
+func (r *Relay) acceptOffer(ctx context.Context, q *request, best *offer, req grant.Request) (*chosenEngine, *result.Error) {
+	if req.StartIn < best.wait && r.cfg.Policy.IsEnabled(policy.Admission) {
 		unmet := result.New(result.DeadlineUnmet, "the earliest start is in %s", best.wait.Round(time.Millisecond))
 		unmet.RetryAfter = best.wait
 		return nil, unmet
 	}
-	ask.MaxWait, ask.LocalOnly, ask.Last, ask.OthersTooSlow = 0, false, true, false
-	return r.acquireGrant(ctx, q, best.candidate, ask)
+	req.MaxWait, req.LocalOnly, req.Last, req.OthersTooSlow = 0, false, true, false
+	return r.acquireGrant(ctx, q, best.candidate, req)
 }
 
 // newOffers returns an empty collection of offers for a request.
@@ -219,8 +219,8 @@
 }
 
 // acquireGrant asks the owner of a candidate for a grant and records the outcome.
-func (r *Relay) acquireGrant(ctx context.Context, q *request, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
-	engine, rerr := r.askOwner(ctx, c, a)
+func (r *Relay) acquireGrant(ctx context.Context, q *request, c *candidate, req grant.Request) (*chosenEngine, *result.Error) {
+	engine, rerr := r.askOwner(ctx, c, req)
 	switch {
 	case rerr == nil:
 		q.recordTry(c.owner.Box+"/"+c.name, "granted")
@@ -233,10 +233,10 @@
 }
 
 // askOwner asks the owner of a candidate, on this box or on another one, for a grant.
-func (r *Relay) askOwner(ctx context.Context, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
-	a.Engine, a.Rate = c.name, r.cfg.Rates.LatestReport(clock.Now(), c.name, c.started)
+func (r *Relay) askOwner(ctx context.Context, c *candidate, req grant.Request) (*chosenEngine, *result.Error) {
+	req.Engine, req.Rate = c.name, r.cfg.Rates.LatestReport(clock.Now(), c.name, c.started)
 	if runner, ok := r.cfg.Owners.Get(c.name); ok {
-		return r.acquireLocal(ctx, runner, c, a)
+		return r.acquireLocal(ctx, runner, c, req)
 	}
 	if c.owner.Box == "" || c.owner.Box == r.cfg.Box {
 		return nil, result.New(result.NotOwner, "%s has no owner at present", c.name)
@@ -244,7 +244,7 @@
 	if r.silentBoxes.Has(c.owner.Box, clock.Now()) {
 		return nil, result.New(result.OwnerSilent, "%s recently did not answer", c.owner.Box)
 	}
-	g, err := r.cfg.Grants.Acquire(ctx, c.owner.Peer, a)
+	g, err := r.cfg.Grants.Acquire(ctx, c.owner.Peer, req)
 	if err != nil {
 		rerr := result.From(err, result.OwnerSilent)
 		if rerr.Code == result.OwnerSilent {
@@ -256,8 +256,8 @@
 }
 
 // acquireLocal asks for a grant for an engine that this box owns.
-func (r *Relay) acquireLocal(ctx context.Context, runner *owner.Runner, c *candidate, a grant.Request) (*chosenEngine, *result.Error) {
-	ownerRequest, rerr := a.OwnerRequest(clock.Now())
+func (r *Relay) acquireLocal(ctx context.Context, runner *owner.Runner, c *candidate, req grant.Request) (*chosenEngine, *result.Error) {
+	ownerRequest, rerr := req.OwnerRequest(clock.Now())
 	if rerr != nil {
 		return nil, rerr
 	}
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -70,7 +70,7 @@
 
 // startTwoEngines starts the engines, and their owner, which calls answer for each request for a grant and onEnd for
 // each report of ended grants.
-func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, ask *grant.Request), onEnd func(body string)) *twoEngines {
+func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, req *grant.Request), onEnd func(body string)) *twoEngines {
 	w := &twoEngines{c: c, catalog: catalog.New(), engines: map[string]*resource.Endpoint{}}
 	owners := coordinator.Map{Cell: "c", Generation: 1}
 	for i := range w.arrived {
@@ -91,9 +91,9 @@
 		rw.WriteHeader(http.StatusNoContent)
 	})
 	ownerPeer.HandleFunc("POST /peer/acquire", func(rw http.ResponseWriter, r *http.Request) {
-		var ask grant.Request
-		c.Check(json.NewDecoder(r.Body).Decode(&ask), qt.IsNil)
-		answer(w, rw, &ask)
+		var req grant.Request
+		c.Check(json.NewDecoder(r.Body).Decode(&req), qt.IsNil)
+		answer(w, rw, &req)
 	})
 	owners.Members = []coordinator.Member{{Box: "far", Zone: "z", Peer: startServer(c, ownerPeer)}}
 	putObject(c, w.catalog, 1, string(resource.KindRouting), catalog.RoutingName, &resource.Routing{
@@ -155,11 +155,11 @@
 	c := qt.New(t)
 	var leavingEngine atomic.Int64
 	leavingEngine.Store(-1)
-	w := startTwoEngines(c, func(w *twoEngines, rw http.ResponseWriter, ask *grant.Request) {
-		if leavingEngine.CompareAndSwap(-1, int64(ask.Engine[1]-'0')) {
-			leaving := *w.engines[ask.Engine]
+	w := startTwoEngines(c, func(w *twoEngines, rw http.ResponseWriter, req *grant.Request) {
+		if leavingEngine.CompareAndSwap(-1, int64(req.Engine[1]-'0')) {
+			leaving := *w.engines[req.Engine]
 			leaving.Leaving = true
-			putObject(c, w.catalog, 11, string(resource.KindEndpoint), ask.Engine, &leaving)
+			putObject(c, w.catalog, 11, string(resource.KindEndpoint), req.Engine, &leaving)
 		}
 		httpx.WriteJSON(rw, http.StatusOK, map[string]any{"id": 1})
 	}, func(string) {})
@@ -174,13 +174,13 @@
 	c := qt.New(t)
 	var failedEngine atomic.Int64
 	failedEngine.Store(-1)
-	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, ask *grant.Request) {
+	w := startTwoEngines(c, func(_ *twoEngines, rw http.ResponseWriter, req *grant.Request) {
 		switch {
-		case ask.LocalOnly:
+		case req.LocalOnly:
 			offer := result.New(result.TryNext, "")
 			offer.RetryAfter = 300 * time.Millisecond
 			offer.Write(rw, "")
-		case failedEngine.CompareAndSwap(-1, int64(ask.Engine[1]-'0')):
+		case failedEngine.CompareAndSwap(-1, int64(req.Engine[1]-'0')):
 			result.New(result.LoadFailed, "").Write(rw, "")
 		default:
 			httpx.WriteJSON(rw, http.StatusOK, map[string]any{"id": 1})
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -16,8 +16,8 @@
 // listed in discovery a second or two after they have started. The retries are spread over the same time again.
 const allLeavingRetryAfter = time.Second
 
-// restRetrySpread is the time over which the retries of callers that found all endpoints resting are spread. It
-// begins at the end of the first rest. An endpoint rests while it has asked this box to send no requests.
+// restRetrySpread is the time over which the retries of callers that found all endpoints paused are spread. It
+// begins at the end of the first pause. An endpoint is paused while it has asked this box to send no requests.
 const restRetrySpread = time.Second
 
 // noticeEndpoint returns the name and start of the endpoint, by which its notices are stored.
@@ -37,16 +37,16 @@
 // handleNotice records the notice in the head of an answer. It ignores notices that do not come from the endpoint
 // itself. valid is set if the answer passed all checks.
 func (r *Relay) handleNotice(q *request, to destination, head AnswerHead, valid bool) {
-	word := head.Notice
+	notices := head.Notice
 	if isFromDestination(q, to, head) {
-		r.handleRate(to, word, valid)
-		r.cfg.Notices.RecordNotices(clock.Now(), to.noticeEndpoint(), word)
+		r.handleRate(to, notices, valid)
+		r.cfg.Notices.RecordNotices(clock.Now(), to.noticeEndpoint(), notices)
 		return
 	}
-	if word.Leaving || word.RetryAfter > 0 || word.Rate.Limited {
+	if notices.Leaving || notices.RetryAfter > 0 || notices.Rate.Limited {
 		r.cfg.Scope.Counter("notices_of_others").Inc(1)
 		klog.V(1).InfoS("ignored a notice that did not come from the endpoint itself", "endpoint", to.name, "asked_as", q.head.ID, "answered_as", head.ID, "instance", head.Instance,
-			"leaving", word.Leaving, "rest", word.RetryAfter, "rate", word.Rate.Rate)
+			"leaving", notices.Leaving, "rest", notices.RetryAfter, "rate", notices.Rate.Rate)
 	}
 }
 
@@ -76,12 +76,12 @@
 	return r.cfg.Notices.HasEntries() && r.cfg.Notices.RemainingPause(clock.Now(), notice.Endpoint{Name: e.Name, Started: e.Spec.Started}) > 0
 }
 
-// refuseIfNoneAvailable refuses a request if all endpoints that could take it are leaving or resting. It returns nil
+// refuseIfNoneAvailable refuses a request if all endpoints that could take it are leaving or paused. It returns nil
 // if there is another endpoint, or no endpoint at all.
 func (r *Relay) refuseIfNoneAvailable(q *request) *result.Error {
 	t := r.cfg.Catalog.Topology()
 	now := clock.Now()
-	var resting refusals
+	var paused refusals
 	total := 0
 	for _, e := range t.Endpoints[q.service] {
 		if view, ok := t.Engines[e.Name]; ok && q.head.Model != "" && view.Spec.BaseModel != q.head.Model {
@@ -91,16 +91,16 @@
 		if e.Spec.Leaving {
 			continue
 		}
-		rest := r.cfg.Notices.RemainingPause(now, notice.Endpoint{Name: e.Name, Started: e.Spec.Started})
-		if rest == 0 {
+		pause := r.cfg.Notices.RemainingPause(now, notice.Endpoint{Name: e.Name, Started: e.Spec.Started})
+		if pause == 0 {
 			return nil
 		}
-		resting.add(rest)
+		paused.add(pause)
 	}
 	switch {
-	case resting.count > 0:
+	case paused.count > 0:
 		rerr := result.New(result.EndpointResting, "%s", q.service)
-		rerr.RetryAfter = resting.shortestWait + rand.N(restRetrySpread)
+		rerr.RetryAfter = paused.shortestWait + rand.N(restRetrySpread)
 		return rerr
 	case total > 0:
 		// Endpoints that are leaving may end at any moment, so they get no new requests, and waiting for them is useless.
@@ -113,7 +113,7 @@
 }
 
 // delayRetryUntilRestEnds replaces the error of a request that did not run if no endpoint is available now. A retry
-// before the end of the first rest would be refused again.
+// before the end of the first pause would be refused again.
 func (r *Relay) delayRetryUntilRestEnds(q *request, rerr *result.Error) *result.Error {
 	if rerr == nil || q.possibleRuns > 0 || (rerr.Code != result.BackendRefused && rerr.Code != result.EndpointResting) {
 		return rerr
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -38,16 +38,16 @@
 	}
 }
 
-// TestNoticesOfOtherEndpointsAreIgnored guards against recording a rate limit, a rest or a leave from an answer that
+// TestNoticesOfOtherEndpointsAreIgnored guards against recording a rate limit, a pause or a leave from an answer that
 // does not come from the requested endpoint.
 func TestNoticesOfOtherEndpointsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	rates := ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: func() int { return 1 }, Scope: tally.NoopScope})
 	board := notice.NewBoard(notice.BoardConfig{Scope: tally.NoopScope})
 	r := New(Config{Rates: rates, Notices: board, Scope: tally.NoopScope})
-	word := notice.HeaderNotices{Rate: ratelimit.Report{Limited: true}, Leaving: true, RetryAfter: time.Minute}
-	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r0", Notice: word}, false)
-	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r1", Misdirected: true, Notice: word}, false)
+	notices := notice.HeaderNotices{Rate: ratelimit.Report{Limited: true}, Leaving: true, RetryAfter: time.Minute}
+	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r0", Notice: notices}, false)
+	r.handleNotice(&request{head: Head{ID: "r1"}}, destination{name: "i-1"}, AnswerHead{ID: "r1", Misdirected: true, Notice: notices}, false)
 	c.Check(rates.Limits(clock.Now()), qt.HasLen, 0)
 	c.Check(board.LeavingEndpoints(clock.Now()), qt.HasLen, 0)
 	c.Check(board.PausedEndpoints(clock.Now()), qt.HasLen, 0)
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -11,29 +11,29 @@
 
 // handleRate records the rate limit that an endpoint reported. Only a valid answer can lift a limit, because other
 // answers may lack any header.
-func (r *Relay) handleRate(to destination, word notice.HeaderNotices, valid bool) {
-	if word.RateErr != nil {
-		r.cfg.Rates.RecordInvalid(clock.Now(), to.name, word.RateErr)
+func (r *Relay) handleRate(to destination, notices notice.HeaderNotices, valid bool) {
+	if notices.RateErr != nil {
+		r.cfg.Rates.RecordInvalid(clock.Now(), to.name, notices.RateErr)
 		return
 	}
-	if !word.Rate.Limited && (!valid || !r.cfg.Rates.HasReports()) {
+	if !notices.Rate.Limited && (!valid || !r.cfg.Rates.HasReports()) {
 		return
 	}
-	word.Rate.Started = to.started
-	if r.cfg.Rates.Record(clock.Now(), to.name, word.Rate) {
-		r.forwardRateToOwner(to.name, word.Rate)
+	notices.Rate.Started = to.started
+	if r.cfg.Rates.Record(clock.Now(), to.name, notices.Rate) {
+		r.forwardRateToOwner(to.name, notices.Rate)
 	}
 }
 
 // forwardRateToOwner sends the rate limit of an engine to the engine's owner at once, because the end of a stream may
 // be seconds away. The box that counts the requests at a plain endpoint receives the limit when this request ends.
-func (r *Relay) forwardRateToOwner(engine string, word ratelimit.Report) {
+func (r *Relay) forwardRateToOwner(engine string, report ratelimit.Report) {
 	if runner, ok := r.cfg.Owners.Get(engine); ok {
-		runner.UpdateRate(word)
+		runner.UpdateRate(report)
 		return
 	}
 	if e, ok := r.cfg.Catalog.Topology().Engines[engine]; ok && e.Owner.Box != "" && e.Owner.Box != r.cfg.Box {
-		r.cfg.Grants.QueueRate(e.Owner.Peer, engine, word)
+		r.cfg.Grants.QueueRate(e.Owner.Peer, engine, report)
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -73,7 +73,7 @@
 	Quarantine *quarantine.Client
 	// Rates holds the request rates, in requests per second, that endpoints reported as their limits.
 	Rates *ratelimit.Registry
-	// Notices holds the other notices of endpoints: that they are leaving, or that they request a rest.
+	// Notices holds the other notices of endpoints: that they are leaving, or that they request a pause.
 	Notices *notice.Board
 }
 
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -51,7 +51,7 @@
 }
 
 // AdjustForRetries returns the Error to send to the caller of a request that was tried several times. If an earlier try may have run, a result that
-// says the request did not run is true of the last try only, so After replaces it by AnswerLost.
+// says the request did not run is true of the last try only, so AdjustForRetries replaces it by AnswerLost.
 func (e *Error) AdjustForRetries(mayHaveRun bool) *Error {
 	if !mayHaveRun || e.Code.Info().Ran != RanNo {
 		return e
