--- a/internal/box/bench_test.go
+++ b/internal/box/bench_test.go
@@ -15,7 +15,7 @@
 	"github.com/bellgap/bellgap/internal/placement"
 )
 
-// processorTime returns what this process has used, client, boxes and engine together.
+// processorTime returns the processor time used so far by this process: the client, the boxes and the engine together.
 func processorTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -24,7 +24,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkOverhead compares a request sent straight to the engine with one through its owner and one through another box.
+// BenchmarkOverhead compares requests sent directly to the engine, through the engine's owner, and through another box.
 func BenchmarkOverhead(b *testing.B) {
 	c := qt.New(b)
 	f := startFleet(c, fleetConfig{boxes: 2, engines: []fakeengine.Config{{Slots: 4, Batch: 64, ChecksOrders: true}}})
@@ -34,7 +34,7 @@
 	if owner.CallerAddress() != engine.Owner.Caller {
 		owner, other = other, owner
 	}
-	f.ask(owner, "/v1/completions", completion(modelName, 1, false))
+	f.post(owner, "/v1/completions", completionBody(modelName, 1, false))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 100}}
 	for _, tt := range []struct{ name, address string }{
 		{"direct", engine.Spec.Address.String()},
@@ -48,11 +48,11 @@
 			stream bool
 		}{{"one token", 1, false}, {"stream of 64", 64, true}} {
 			b.Run(tt.name+"/"+shape.name, func(b *testing.B) {
-				var took []time.Duration
+				var latencies []time.Duration
 				before := processorTime(b)
 				for b.Loop() {
-					began := time.Now()
-					resp, err := client.Post("http://"+tt.address+"/v1/completions", "application/json", strings.NewReader(completion(modelName, shape.tokens, shape.stream)))
+					startedAt := time.Now()
+					resp, err := client.Post("http://"+tt.address+"/v1/completions", "application/json", strings.NewReader(completionBody(modelName, shape.tokens, shape.stream)))
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -62,12 +62,12 @@
 					if err := resp.Body.Close(); err != nil {
 						b.Fatal(err)
 					}
-					took = append(took, time.Since(began))
+					latencies = append(latencies, time.Since(startedAt))
 				}
-				b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(len(took)), "cpu-us/op")
-				slices.Sort(took)
-				b.ReportMetric(float64(took[len(took)/2].Microseconds()), "p50-us")
-				b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "p99-us")
+				b.ReportMetric(float64((processorTime(b)-before).Microseconds())/float64(len(latencies)), "cpu-us/op")
+				slices.Sort(latencies)
+				b.ReportMetric(float64(latencies[len(latencies)/2].Microseconds()), "p50-us")
+				b.ReportMetric(float64(latencies[len(latencies)*99/100].Microseconds()), "p99-us")
 			})
 		}
 	}
--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -1,4 +1,4 @@
-// Package box puts the parts of one box together and runs them until it leaves.
+// Package box assembles the parts of a box and runs them until the box leaves the cell.
 package box
 
 import (
@@ -40,22 +40,22 @@
 	"github.com/bellgap/bellgap/internal/settings"
 )
 
-// Connections kept open to one peer, engine or service.
+// Maximum number of idle connections to one peer, engine or service.
 const (
 	connsPerPeer    = 64
 	connsPerEngine  = 256
 	connsPerService = 64
 )
 
-// leavePoll is how often a leaving box looks whether it may go.
-const leavePoll = 20 * time.Millisecond
+// leavePollInterval is how often a leaving box checks whether it may stop.
+const leavePollInterval = 20 * time.Millisecond
 
 // Config configures a Box.
 type Config struct {
 	Settings settings.Settings
 }
 
-// Box is one running box.
+// Box is a running box that serves completions and service calls.
 type Box struct {
 	cfg       Config
 	done      chan struct{}
@@ -69,24 +69,25 @@
 	owners    *owner.Set
 	node      *member.Node
 	gateway   *gateway.Gateway
-	// quarantine knows which requests reach no back end.
+	// quarantine blocks requests that have crashed back ends.
 	quarantine *quarantine.Client
-	// keeper counts the calls of the services' addresses that are this box's to count, places takes places of all; rates is what engines and services
-	// say of how many requests a second they take.
+	// keeper counts the calls of the service addresses that are assigned to this box. places acquires places at all service addresses.
+	// rates holds the limits on requests per second that engines and services report.
 	keeper *places.Keeper
 	places *places.Client
 	rates  *ratelimit.Book
-	// notices is what else they have said of themselves, teller tells other boxes.
-	notices   *notice.Board
-	teller    *notice.Client
-	listeners listeners
+	// notices holds the other notices that engines and services have sent about themselves. noticeClient forwards notices of leaving endpoints to
+	// other boxes.
+	notices      *notice.Board
+	noticeClient *notice.Client
+	listeners    listeners
 }
 
 type listeners struct {
 	caller, peer, operator net.Listener
 }
 
-// New opens the listeners and builds the parts; Run runs them.
+// New opens the listeners and builds the parts. Run runs them.
 func New(cfg Config) (*Box, error) {
 	ls, err := listen(cfg.Settings.Listen)
 	if err != nil {
@@ -95,28 +96,28 @@
 	b := &Box{
 		cfg: cfg, done: make(chan struct{}), listeners: ls, metrics: metric.New(cfg.Settings.Box.Name), catalog: catalog.New(),
 		engines: engine.NewClient(engine.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerEngine)}}),
-		root:    suture.New("box", suture.Spec{EventHook: logEvent}),
+		root:    suture.New("box", suture.Spec{EventHook: logSupervisorEvent}),
 	}
 	api := objects.NewClient(objects.ClientConfig{
 		Address: cfg.Settings.Platform.Address.String(), HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)},
 	})
 	peers := peer.NewClient(peer.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}})
 	b.feed = feed.New(feed.Config{
-		Catalog: b.catalog, Scope: b.metrics.Scope, Pick: func() feed.Source { return b.source(api, peers) },
-		Lost: func(ctx context.Context) ([]objects.Object, error) { return b.lost(ctx, api, peers) },
+		Catalog: b.catalog, Scope: b.metrics.Scope, Pick: func() feed.Source { return b.changeSource(api, peers) },
+		Lost: func(ctx context.Context) ([]objects.Object, error) { return b.lostObjects(ctx, api, peers) },
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
 	b.rates = ratelimit.NewBook(ratelimit.BookConfig{Boxes: func() int { return len(b.catalog.Topology().Boxes) }, Scope: b.metrics.Scope})
-	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, heard bool) {
-		if heard {
-			b.teller.Leaves(e)
+	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, firsthand bool) {
+		if firsthand {
+			b.noticeClient.Leaves(e)
 		}
 	}})
-	b.teller = newTeller(tellerConfig{Board: b.notices, Catalog: b.catalog, Box: cfg.Settings.Box.Name, Scope: b.metrics.Scope})
+	b.noticeClient = newNoticeClient(noticeClientConfig{Board: b.notices, Catalog: b.catalog, Box: cfg.Settings.Box.Name, Scope: b.metrics.Scope})
 	b.keeper = places.NewKeeper(mathrand.Uint64())
 	b.places = places.NewClient(places.ClientConfig{
 		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
-		Keepers: newAccountable(accountableConfig{
+		Keepers: newLocator(locatorConfig{
 			Box: cfg.Settings.Box.Name, Beat: cfg.Settings.Timing.Beat, Catalog: b.catalog, Membership: func() member.Status { return b.node.Status() },
 		}),
 	})
@@ -125,52 +126,54 @@
 	b.buildOwners()
 	b.buildNode(api, peers)
 	b.buildGateway(records)
-	b.serve(api, records)
+	b.addParts(api, records)
 	return b, nil
 }
 
 func listen(l settings.Listen) (listeners, error) {
 	var ls listeners
 	for _, p := range []struct {
-		address netip.AddrPort
-		into    *net.Listener
+		address  netip.AddrPort
+		listener *net.Listener
 	}{{l.Caller, &ls.caller}, {l.Peer, &ls.peer}, {l.Operator, &ls.operator}} {
 		var err error
-		if *p.into, err = net.Listen("tcp", p.address.String()); err != nil {
+		if *p.listener, err = net.Listen("tcp", p.address.String()); err != nil {
 			return ls, eris.Wrap(err, "box: listen")
 		}
 	}
 	return ls, nil
 }
 
-// advertised returns where other boxes reach the peer listener.
-func (ls listeners) advertised(l settings.Listen) netip.AddrPort {
+// advertisedAddress returns the address at which other boxes reach the peer listener.
+func (ls listeners) advertisedAddress(l settings.Listen) netip.AddrPort {
 	if l.PeerAdvertised.IsValid() {
 		return l.PeerAdvertised
 	}
-	return addressOf(ls.peer)
+	return listenerAddress(ls.peer)
 }
 
-func logEvent(e suture.Event) {
+func logSupervisorEvent(e suture.Event) {
 	klog.InfoS("supervisor", "event", e.String())
 }
 
-// source returns where changes come from: the coordinator, so that the platform's load does not grow with the boxes, else the platform.
-func (b *Box) source(api *objects.Client, peers *peer.Client) feed.Source {
+// changeSource returns the source of changes: the coordinator if there is one, otherwise the platform. With the coordinator as source, the
+// platform's load does not grow with the number of boxes.
+func (b *Box) changeSource(api *objects.Client, peers *peer.Client) feed.Source {
 	if address, ok := b.node.CoordinatorAddress(); ok {
 		return peers.Source(address)
 	}
 	return api
 }
 
-// lost asks the cell's coordinator what the platform has lost, so that a new box does not serve an older configuration than others do.
-func (b *Box) lost(ctx context.Context, api objects.API, peers *peer.Client) ([]objects.Object, error) {
+// lostObjects requests the objects that the platform has lost from the cell's coordinator. Without these objects, a new box would serve an older
+// configuration than the other boxes.
+func (b *Box) lostObjects(ctx context.Context, api objects.API, peers *peer.Client) ([]objects.Object, error) {
 	l := lease.New(lease.Config{API: api, Name: member.LeaseName(b.cfg.Settings.Box.Cell)})
 	if err := l.Refresh(ctx); err != nil {
 		return nil, err
 	}
 	address := l.Record().Address
-	if address == "" || address == b.listeners.advertised(b.cfg.Settings.Listen).String() {
+	if address == "" || address == b.listeners.advertisedAddress(b.cfg.Settings.Listen).String() {
 		return nil, nil
 	}
 	return peers.Lost(ctx, address)
@@ -179,14 +182,15 @@
 func (b *Box) buildOwners() {
 	b.owners = owner.NewSet(owner.SetConfig{
 		Supervisor: b.root, Loads: b.loads, Scope: b.metrics.Scope,
-		Client:    quarantinedOrders{b.engines, b.quarantine},
+		Client:    quarantiningEngines{b.engines, b.quarantine},
 		Authority: func(name string, now time.Time) (uint64, bool) { return b.node.Authority(name, now) },
 		Lookup:    b.lookupEngine, Rates: b.rates,
 		Leaving: func(name string) bool { return b.catalog.Topology().Engines[name].Leaving },
 	})
 }
 
-// buildLoads shares the weight store's budget: one box of the region schedules, cut-off boxes use a fixed share.
+// buildLoads builds the schedulers for loads from the weight store. One box per region schedules the loads within the store's budget. A box that
+// cannot reach this scheduler uses a fixed share of the budget.
 func (b *Box) buildLoads(peers *peer.Client) {
 	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, AtOnce: b.cfg.Settings.Loads.AtOnce}
 	b.scheduler = loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget { return budget }})
@@ -208,8 +212,8 @@
 	})
 }
 
-// schedules reports whether this box schedules its region's loads.
-func (b *Box) schedules() bool {
+// isScheduler reports whether this box schedules its region's loads.
+func (b *Box) isScheduler() bool {
 	return b.catalog.Topology().Schedulers[b.cfg.Settings.Box.Region].Box == b.cfg.Settings.Box.Name
 }
 
@@ -228,13 +232,13 @@
 		Cell: s.Box.Cell, Region: s.Box.Region, API: api, Peers: peers, Catalog: b.catalog, Holder: b.owners, Scope: b.metrics.Scope, NewToken: rand.Text,
 		Quarantine: b.quarantine,
 		Self: coordinator.Member{
-			Box: s.Box.Name, Zone: s.Box.Zone, Incarnation: rand.Text(), Caller: b.CallerAddress(), Peer: b.listeners.advertised(b.cfg.Settings.Listen),
+			Box: s.Box.Name, Zone: s.Box.Zone, Incarnation: rand.Text(), Caller: b.CallerAddress(), Peer: b.listeners.advertisedAddress(b.cfg.Settings.Listen),
 		},
 		Timing: member.Timing{Beat: s.Timing.Beat, LeaseTTL: s.Timing.LeaseTTL, Term: s.Timing.Term, Drain: s.Timing.Drain},
 	})
 }
 
-func addressOf(l net.Listener) netip.AddrPort {
+func listenerAddress(l net.Listener) netip.AddrPort {
 	a, ok := l.Addr().(*net.TCPAddr)
 	if !ok {
 		return netip.AddrPort{}
@@ -259,13 +263,13 @@
 	})
 }
 
-// noRedirect passes a service's redirect on to the caller instead of following it.
+// noRedirect makes an HTTP client return a redirect, which is passed on to the caller, instead of following it.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-func (b *Box) serve(api objects.API, records *record.Log) {
+func (b *Box) addParts(api objects.API, records *record.Log) {
 	peerMux := http.NewServeMux()
 	peer.NewHandler(peer.HandlerConfig{
-		Catalog: b.catalog, Beat: b.node.Receive, Batch: b.node.HandleBatch, Permits: b.scheduler, Schedules: b.schedules, NewID: rand.Text,
+		Catalog: b.catalog, Beat: b.node.Receive, Batch: b.node.HandleBatch, Permits: b.scheduler, Schedules: b.isScheduler, NewID: rand.Text,
 	}).Register(peerMux)
 	b.gateway.RegisterPeer(peerMux)
 	notice.NewServer(notice.ServerConfig{Board: b.notices}).Register(peerMux)
@@ -282,12 +286,12 @@
 	b.root.Add(b.feed)
 	b.root.Add(b.quarantine)
 	b.root.Add(b.places)
-	b.root.Add(b.teller)
-	b.root.Add(repair.New(repair.Config{API: api, Catalog: b.catalog, Active: b.schedules, Scope: b.metrics.Scope}))
-	b.root.Add(afterReady{b.feed.Ready(), b.node})
+	b.root.Add(b.noticeClient)
+	b.root.Add(repair.New(repair.Config{API: api, Catalog: b.catalog, Active: b.isScheduler, Scope: b.metrics.Scope}))
+	b.root.Add(delayedNode{b.feed.Ready(), b.node})
 }
 
-// server is a listener's service.
+// server is the supervised HTTP server of a listener.
 type server struct {
 	listener net.Listener
 	handler  http.Handler
@@ -297,20 +301,20 @@
 func (s server) Serve(ctx context.Context) error {
 	err := httpx.Serve(ctx, httpx.NewServer(s.handler), s.listener)
 	if ctx.Err() == nil {
-		// A listener that broke cannot be opened again by a restart of this part.
+		// A restart of this server cannot reopen a failed listener, so the whole supervisor tree must end.
 		return errors.Join(err, suture.ErrTerminateSupervisorTree)
 	}
 	return err
 }
 
-// afterReady starts membership once the catalog is there, so that a box owns nothing it does not know.
-type afterReady struct {
+// delayedNode starts membership after the catalog is loaded, so that a box never owns an engine that it does not know.
+type delayedNode struct {
 	ready <-chan struct{}
 	node  *member.Node
 }
 
 // Serve implements suture.Service.
-func (a afterReady) Serve(ctx context.Context) error {
+func (a delayedNode) Serve(ctx context.Context) error {
 	select {
 	case <-a.ready:
 		return a.node.Serve(ctx)
@@ -319,29 +323,29 @@
 	}
 }
 
-// CallerAddress returns where callers connect.
-func (b *Box) CallerAddress() netip.AddrPort { return addressOf(b.listeners.caller) }
+// CallerAddress returns the address to which callers connect.
+func (b *Box) CallerAddress() netip.AddrPort { return listenerAddress(b.listeners.caller) }
 
-// OperatorAddress returns where operators connect.
-func (b *Box) OperatorAddress() netip.AddrPort { return addressOf(b.listeners.operator) }
+// OperatorAddress returns the address to which operators connect.
+func (b *Box) OperatorAddress() netip.AddrPort { return listenerAddress(b.listeners.operator) }
 
-// Topology returns the fleet as this box knows it.
+// Topology returns this box's current view of the fleet.
 func (b *Box) Topology() *catalog.Topology { return b.catalog.Topology() }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (b *Box) Done() <-chan struct{} { return b.done }
 
-// InFlight returns the requests in flight through this box and on its engines.
+// InFlight returns the number of requests in flight through this box and on its engines.
 func (b *Box) InFlight() int { return b.gateway.InFlight() + b.owners.InFlight() }
 
-// Run serves until ctx ends, then leaves: it takes nothing new, hands its engines over and finishes what is in flight.
+// Run serves until ctx ends, then leaves: it refuses new requests, hands over its engines and finishes the requests in flight.
 func (b *Box) Run(ctx context.Context) error {
 	defer close(b.done)
-	return runUntilLeft(ctx, b.root, b.metrics, b.leave)
+	return runAndLeave(ctx, b.root, b.metrics, b.leave)
 }
 
-// runUntilLeft runs a box's parts until ctx ends and leave, which may use them still, has returned.
-func runUntilLeft(ctx context.Context, root *suture.Supervisor, metrics *metric.Metrics, leave func(ctx context.Context)) error {
+// runAndLeave runs a box's parts until ctx ends, then calls leave. The parts keep running until leave has returned.
+func runAndLeave(ctx context.Context, root *suture.Supervisor, metrics *metric.Metrics, leave func(ctx context.Context)) error {
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var group errgroup.Group
@@ -365,15 +369,15 @@
 	return err
 }
 
-// leave waits until nothing is in flight and the cell knows that, at most the time for leaving.
-// Handing over may take two terms from then on; after that there is nobody to take the engines.
+// leave waits until no requests are in flight and the engines are handed over, at most for the configured leave time.
+// If the handover is not complete two terms after the last request, there is no box that can take the engines, and leave returns.
 func (b *Box) leave(ctx context.Context) {
 	timing := b.cfg.Settings.Timing
 	klog.InfoS("leaving", "box", b.cfg.Settings.Box.Name)
 	b.node.Leave()
 	limit := time.NewTimer(timing.Leave)
 	defer limit.Stop()
-	tick := time.NewTicker(leavePoll)
+	tick := time.NewTicker(leavePollInterval)
 	defer tick.Stop()
 	idleSince := clock.Now()
 	for {
@@ -385,7 +389,7 @@
 		select {
 		case <-tick.C:
 		case <-limit.C:
-			klog.InfoS("leaving with requests in flight", "in_flight", b.InFlight())
+			klog.InfoS("leave time expired with requests in flight", "in_flight", b.InFlight())
 			return
 		case <-ctx.Done():
 			return
--- a/internal/box/directory.go
+++ b/internal/box/directory.go
@@ -11,88 +11,88 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// answer is what callers are told of the fleet, and why.
-type answer struct {
-	// addresses are where callers may connect, in order.
+// directoryView is the list of boxes that callers receive, with the reasons for it.
+type directoryView struct {
+	// addresses are the sorted addresses to which callers may connect.
 	addresses []netip.AddrPort
-	// silent and leaving name the boxes that are left out for that.
+	// silent and leaving are the names of the boxes that are omitted because they are silent or leaving.
 	silent, leaving []string
-	// nobodyStays says that no box is there to stay, so that all are named.
-	nobodyStays bool
+	// noneStaying is set if every box is silent or leaving, so that all boxes are listed.
+	noneStaying bool
 }
 
-func (a answer) equal(b answer) bool {
-	return slices.Equal(a.addresses, b.addresses) && slices.Equal(a.silent, b.silent) && slices.Equal(a.leaving, b.leaving)
+func (v directoryView) equal(other directoryView) bool {
+	return slices.Equal(v.addresses, other.addresses) && slices.Equal(v.silent, other.silent) && slices.Equal(v.leaving, other.leaving)
 }
 
-// told is the last answer to callers.
-type told struct {
+// lastView holds the last view that callers received.
+type lastView struct {
 	mu   sync.Mutex
-	last answer
+	view directoryView
 }
 
-// change notes an answer, and returns the one before and whether this one differs.
-func (t *told) change(now answer) (answer, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	before := t.last
-	t.last = now
-	return before, !before.equal(now)
+// replace stores a view, and returns the previous view and whether the two differ.
+func (l *lastView) replace(view directoryView) (directoryView, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	previous := l.view
+	l.view = view
+	return previous, !previous.equal(view)
 }
 
-// Addresses returns where callers may connect: the live boxes that are not leaving, else all live ones, else this one. A change of
-// the answer is a line in the log.
+// Addresses returns the addresses to which callers may connect: the boxes that are neither silent nor leaving or, if there are none, all boxes.
+// This box is always included while it is ready. Each change of the addresses is logged.
 func (b *Routed) Addresses() []netip.AddrPort {
-	a := b.answer()
-	before, changed := b.told.change(a)
+	view := b.computeDirectory()
+	previous, changed := b.lastView.replace(view)
 	if changed {
 		b.metrics.Scope.Counter("directory_changes").Inc(1)
 		m, _, _ := b.catalog.Map(b.cfg.Settings.Box.Cell)
-		klog.InfoS("directory changed", "named", len(a.addresses), "added", without(a.addresses, before.addresses),
-			"dropped", without(before.addresses, a.addresses), "silent", a.silent, "leaving", a.leaving, "nobody_stays", a.nobodyStays,
+		klog.InfoS("directory changed", "named", len(view.addresses), "added", addressesNotIn(view.addresses, previous.addresses),
+			"dropped", addressesNotIn(previous.addresses, view.addresses), "silent", view.silent, "leaving", view.leaving, "nobody_stays", view.noneStaying,
 			"generation", m.Generation, "coordinator", m.Coordinator, "lease", m.Lease, "store_age", b.follower.StoreAge())
 	}
-	return a.addresses
+	return view.addresses
 }
 
-// answer works out what callers are told by the cell map that this box has.
-func (b *Routed) answer() answer {
-	var a answer
+// computeDirectory computes the view for callers from the cell maps that this box has.
+func (b *Routed) computeDirectory() directoryView {
+	var view directoryView
 	var all []netip.AddrPort
 	for _, m := range b.catalog.Topology().Boxes {
 		all = append(all, m.Caller)
-		a.add(m)
+		view.add(m)
 	}
-	if len(a.addresses) == 0 {
-		a.addresses, a.nobodyStays = all, true
+	if len(view.addresses) == 0 {
+		view.addresses, view.noneStaying = all, true
 	}
 	self := b.CallerAddress()
-	if b.leavingFor() == 0 && !slices.Contains(a.addresses, self) && b.Ready() {
-		a.addresses = append(a.addresses, self)
+	if b.leavingDuration() == 0 && !slices.Contains(view.addresses, self) && b.Ready() {
+		view.addresses = append(view.addresses, self)
 	}
-	slices.SortFunc(a.addresses, netip.AddrPort.Compare)
-	slices.SortFunc(a.silent, strings.Compare)
-	slices.SortFunc(a.leaving, strings.Compare)
-	return a
+	slices.SortFunc(view.addresses, netip.AddrPort.Compare)
+	slices.SortFunc(view.silent, strings.Compare)
+	slices.SortFunc(view.leaving, strings.Compare)
+	return view
 }
 
-// add takes a box in.
-func (a *answer) add(m coordinator.Member) {
+// add adds a box to the addresses, or to the silent or leaving boxes.
+func (v *directoryView) add(m coordinator.Member) {
 	switch {
 	case m.Leaving:
-		a.leaving = append(a.leaving, m.Box)
+		v.leaving = append(v.leaving, m.Box)
 	case m.Silent:
-		a.silent = append(a.silent, m.Box)
+		v.silent = append(v.silent, m.Box)
 	default:
-		a.addresses = append(a.addresses, m.Caller)
+		v.addresses = append(v.addresses, m.Caller)
 	}
 }
 
-// maxAddressesTold bounds the addresses in a line.
-const maxAddressesTold = 8
+// maxLoggedAddresses limits the number of addresses in a log value.
+const maxLoggedAddresses = 8
 
-// without returns what of all is not in others, for the log.
-func without(all, others []netip.AddrPort) []netip.AddrPort {
-	rest := slices.DeleteFunc(slices.Clone(all), func(p netip.AddrPort) bool { return slices.Contains(others, p) })
-	return rest[:min(len(rest), maxAddressesTold)]
+// addressesNotIn returns the addresses that are not excluded, at most maxLoggedAddresses of them.
+func addressesNotIn(addresses, excluded []netip.AddrPort) []netip.AddrPort {
+	rest := slices.DeleteFunc(slices.Clone(addresses), func(p netip.AddrPort) bool { return slices.Contains(excluded, p) })
+	return rest[:min(len(rest), maxLoggedAddresses)]
 }
--- a/internal/box/explain_test.go
+++ b/internal/box/explain_test.go
@@ -18,14 +18,14 @@
 	for _, e := range f.engines {
 		e.SetFaults(fakeengine.Faults{FailLoads: 1})
 	}
-	checkRefusal(c, f.ask(f.boxes[0], "/v1/completions", completion(modelName, 1, false), result.HeaderRequest, "why"), result.LoadFailed)
+	checkRefusal(c, f.post(f.boxes[0], "/v1/completions", completionBody(modelName, 1, false), result.HeaderRequest, "why"), result.LoadFailed)
 	url := "http://" + f.boxes[0].OperatorAddress().String() + "/explain?of="
 	for _, tt := range []struct {
-		of         string
+		query      string
 		candidates int
 	}{{"why", 0}, {modelName, 2}} {
 		var e operator.Explanation
-		c.Assert(json.Unmarshal([]byte(f.send(http.MethodGet, url+tt.of, nil).body), &e), qt.IsNil)
+		c.Assert(json.Unmarshal([]byte(f.send(http.MethodGet, url+tt.query, nil).body), &e), qt.IsNil)
 		c.Check(e.Candidates, qt.HasLen, tt.candidates)
 		c.Assert(e.Requests, qt.HasLen, 1)
 		c.Check(e.Requests[0].Result, qt.Equals, result.LoadFailed)
--- a/internal/box/fleet.go
+++ b/internal/box/fleet.go
@@ -15,36 +15,38 @@
 	"github.com/bellgap/bellgap/internal/settings"
 )
 
-// casesKept is how many boxes keep each case: a single loss loses none.
-const casesKept = 2
+// keepersPerCase is the number of boxes that store each quarantine case, so that the loss of one box loses no case.
+const keepersPerCase = 2
 
-// connsPerCase is how many connections to another box stay open for cases, which are rare.
-const connsPerCase = 1
+// connsPerQuarantinePeer is the maximum number of idle connections to another box for quarantine messages, which are rare.
+const connsPerQuarantinePeer = 1
 
-// fleetConfig configures a fleet.
-type fleetConfig struct {
+// quarantineFleetConfig configures a quarantineFleet.
+type quarantineFleetConfig struct {
 	Catalog *catalog.Catalog
-	// Box is the name of this box, Cell its cell.
+	// Box is the name of this box. Cell is the name of its cell.
 	Box  string
 	Cell string
 }
 
-// fleet is the boxes as the quarantine sees them.
-type fleet struct {
-	cfg fleetConfig
+// quarantineFleet provides the quarantine with the boxes of the fleet.
+type quarantineFleet struct {
+	cfg quarantineFleetConfig
 	mu  sync.Mutex
-	// published is the topology whose held requests were last returned.
-	published *catalog.Topology
+	// lastTopology is the topology whose held requests were last returned.
+	lastTopology *catalog.Topology
 }
 
-var _ quarantine.Fleet = (*fleet)(nil)
+var _ quarantine.Fleet = (*quarantineFleet)(nil)
 
-func newFleet(cfg fleetConfig) *fleet { return &fleet{cfg: cfg} }
+func newQuarantineFleet(cfg quarantineFleetConfig) *quarantineFleet {
+	return &quarantineFleet{cfg: cfg}
+}
 
-// Keepers implements quarantine.Fleet. All boxes that have the same cell maps choose the same ones, so nothing has to be agreed.
-func (f *fleet) Keepers(of quarantine.Fingerprint) (others []netip.AddrPort, here bool) {
+// Keepers implements quarantine.Fleet. All boxes with the same cell maps select the same keepers, so that they need no agreement.
+func (f *quarantineFleet) Keepers(fingerprint quarantine.Fingerprint) (others []netip.AddrPort, here bool) {
 	t := f.cfg.Catalog.Topology()
-	for _, name := range placement.Top(of.String(), takers(t), casesKept) {
+	for _, name := range placement.Top(fingerprint.String(), stayingBoxes(t), keepersPerCase) {
 		if name == f.cfg.Box {
 			here = true
 			continue
@@ -54,8 +56,9 @@
 	return others, here
 }
 
-// Others implements quarantine.Fleet. Leaving boxes serve for a while; silent ones learn what they missed from the cell map.
-func (f *fleet) Others() []netip.AddrPort {
+// Others implements quarantine.Fleet. It includes leaving boxes, since they still serve for a while. It omits silent boxes, since they later receive
+// the messages that they missed with the cell map.
+func (f *quarantineFleet) Others() []netip.AddrPort {
 	var all []netip.AddrPort
 	for name, m := range f.cfg.Catalog.Topology().Boxes {
 		if name != f.cfg.Box && !m.Silent {
@@ -66,7 +69,7 @@
 }
 
 // Coordinator implements quarantine.Fleet.
-func (f *fleet) Coordinator() (netip.AddrPort, bool) {
+func (f *quarantineFleet) Coordinator() (netip.AddrPort, bool) {
 	m, _, _ := f.cfg.Catalog.Map(f.cfg.Cell)
 	for _, b := range m.Members {
 		if b.Box == m.Coordinator {
@@ -77,21 +80,21 @@
 }
 
 // Published implements quarantine.Fleet.
-func (f *fleet) Published() (all []quarantine.Held, changed bool) {
+func (f *quarantineFleet) Published() (all []quarantine.Held, changed bool) {
 	t := f.cfg.Catalog.Topology()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed = t != f.published
-	f.published = t
+	changed = t != f.lastTopology
+	f.lastTopology = t
 	return t.Quarantined, changed
 }
 
-// newQuarantine returns a box's part in the quarantine.
+// newQuarantine returns a box's quarantine client.
 func newQuarantine(s settings.Settings, c *catalog.Catalog, scope tally.Scope) *quarantine.Client {
 	return quarantine.NewClient(quarantine.ClientConfig{
-		HTTP:     &http.Client{Transport: httpx.NewTransport(connsPerCase)},
+		HTTP:     &http.Client{Transport: httpx.NewTransport(connsPerQuarantinePeer)},
 		Register: quarantine.NewRegister(quarantine.RegisterConfig{Endpoints: s.Quarantine.Endpoints, Hold: s.Quarantine.Hold}),
-		Fleet:    newFleet(fleetConfig{Catalog: c, Box: s.Box.Name, Cell: s.Box.Cell}),
+		Fleet:    newQuarantineFleet(quarantineFleetConfig{Catalog: c, Box: s.Box.Name, Cell: s.Box.Cell}),
 		Scope:    scope,
 		Off:      !s.Policy.Chosen().On(policy.Quarantine),
 	})
--- a/internal/box/harness_test.go
+++ b/internal/box/harness_test.go
@@ -31,23 +31,23 @@
 	modelName = "boundary@3"
 )
 
-// fleet is some boxes in one process, on real sockets, before stand-ins.
+// fleet consists of boxes that run in the test process on real sockets, with fakes of the platform, the engines and a service.
 type fleet struct {
 	c        *qt.C
 	platform *fakeplatform.Store
 	address  netip.AddrPort
 	engines  []*fakeengine.Engine
 	service  *fakeservice.Service
-	boxes    []*running
+	boxes    []*runningBox
 }
 
-type running struct {
+type runningBox struct {
 	*box.Box
 	stop  context.CancelFunc
 	group errgroup.Group
 }
 
-// fleetConfig says what a fleet consists of.
+// fleetConfig configures a fleet.
 type fleetConfig struct {
 	boxes   int
 	engines []fakeengine.Config
@@ -55,24 +55,24 @@
 
 func startFleet(c *qt.C, cfg fleetConfig) *fleet {
 	f := &fleet{c: c, platform: fakeplatform.New(), service: fakeservice.New("titles")}
-	f.address = f.listen(f.platform.Handler())
+	f.address = f.startServer(f.platform.Handler())
 	f.declare("downs", &resource.Cooperative{MaxInFlight: 1000})
 	f.declare("gate", &resource.Priority{Urgency: 50, MaxWait: resource.Duration(time.Minute)})
 	f.declare("titles", &resource.Service{
-		Addresses: []netip.AddrPort{f.listen(f.service.Handler())}, Timeout: resource.Duration(time.Minute), Unrepeatable: []string{"/notice"},
+		Addresses: []netip.AddrPort{f.startServer(f.service.Handler())}, Timeout: resource.Duration(time.Minute), Unrepeatable: []string{"/notice"},
 	})
 	for i, e := range cfg.engines {
 		engine := fakeengine.New(e)
 		f.engines = append(f.engines, engine)
 		f.declare(fmt.Sprintf("engine-%d", i+1), &resource.Engine{
-			Address: f.listen(engine.Handler()), Box: fmt.Sprintf("host-%d", i+1), Zone: zone, BaseModel: baseModel, Slots: e.Slots, Batch: e.Batch, ChecksOrders: e.ChecksOrders,
+			Address: f.startServer(engine.Handler()), Box: fmt.Sprintf("host-%d", i+1), Zone: zone, BaseModel: baseModel, Slots: e.Slots, Batch: e.Batch, ChecksOrders: e.ChecksOrders,
 		})
 	}
 	f.declareAdapter(modelName)
 	for i := range cfg.boxes {
 		f.addBox(fmt.Sprintf("box-%d", i+1))
 	}
-	f.settle(cfg.boxes, len(cfg.engines))
+	f.waitUntilSettled(cfg.boxes, len(cfg.engines))
 	return f
 }
 
@@ -80,7 +80,7 @@
 	return fakeengine.Config{Slots: 4, Batch: 8, Step: time.Millisecond, ChecksOrders: true}
 }
 
-func (f *fleet) listen(h http.Handler) netip.AddrPort {
+func (f *fleet) startServer(h http.Handler) netip.AddrPort {
 	s := httptest.NewServer(h)
 	f.c.Cleanup(s.CloseClientConnections)
 	return netip.MustParseAddrPort(strings.TrimPrefix(s.URL, "http://"))
@@ -96,11 +96,11 @@
 	value, err := json.Marshal(resource.Resource{Kind: kind, Name: name, Spec: spec})
 	f.c.Assert(err, qt.IsNil)
 	ctx := context.Background()
-	have, err := f.platform.Get(ctx, string(kind), name)
+	existing, err := f.platform.Get(ctx, string(kind), name)
 	if err != nil {
 		f.c.Assert(err, qt.ErrorIs, objects.ErrNotFound)
 	}
-	_, err = f.platform.Put(ctx, string(kind), name, have.Version, value)
+	_, err = f.platform.Put(ctx, string(kind), name, existing.Version, value)
 	f.c.Assert(err, qt.IsNil)
 }
 
@@ -112,9 +112,9 @@
 
 func (f *fleet) settings(name string) settings.Settings {
 	s := settings.Default()
-	any0 := netip.MustParseAddrPort("127.0.0.1:0")
+	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
 	s.Box.Name, s.Box.Zone = name, zone
-	s.Listen = settings.Listen{Caller: any0, Peer: any0, Operator: any0}
+	s.Listen = settings.Listen{Caller: anyPort, Peer: anyPort, Operator: anyPort}
 	s.Platform.Address = f.address
 	s.Timing.Beat, s.Timing.LeaseTTL, s.Timing.Term = 50*time.Millisecond, 500*time.Millisecond, 500*time.Millisecond
 	s.Loads = settings.Loads{PerSecond: 1000, AtOnce: 16}
@@ -126,7 +126,7 @@
 	b, err := box.New(box.Config{Settings: f.settings(name)})
 	f.c.Assert(err, qt.IsNil)
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &running{Box: b, stop: cancel}
+	r := &runningBox{Box: b, stop: cancel}
 	r.group.Go(func() error { return b.Run(ctx) })
 	f.boxes = append(f.boxes, r)
 	f.c.Cleanup(func() {
@@ -135,10 +135,10 @@
 	})
 }
 
-// settle waits until every box knows all boxes and an owner for each engine.
-func (f *fleet) settle(boxes, engines int) {
+// waitUntilSettled waits until every box knows all boxes and an owner of each engine.
+func (f *fleet) waitUntilSettled(boxes, engines int) {
 	for _, b := range f.boxes {
-		f.until(func() bool {
+		f.waitUntil(func() bool {
 			t := b.Topology()
 			n := 0
 			for _, m := range t.Boxes {
@@ -151,30 +151,30 @@
 	}
 }
 
-// until waits for a condition; the test's own time limit ends a wait in vain.
-func (f *fleet) until(ok func() bool) {
+// waitUntil waits for a condition. It fails the test if the test's context ends first.
+func (f *fleet) waitUntil(ok func() bool) {
 	for !ok() {
 		select {
 		case <-f.c.Context().Done():
-			f.c.Fatal("gave up waiting")
+			f.c.Fatal("test ended before the awaited condition was met")
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is an HTTP response, as received by a caller.
+type response struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// ask sends a request to a box.
-func (f *fleet) ask(b *running, path, body string, header ...string) answer {
+// post sends a POST request to a box.
+func (f *fleet) post(b *runningBox, path, body string, header ...string) response {
 	return f.send(http.MethodPost, "http://"+b.CallerAddress().String()+path, strings.NewReader(body), header...)
 }
 
-func (f *fleet) send(method, url string, body io.Reader, header ...string) answer {
+func (f *fleet) send(method, url string, body io.Reader, header ...string) response {
 	req, err := http.NewRequest(method, url, body)
 	f.c.Assert(err, qt.IsNil)
 	for i := 0; i+1 < len(header); i += 2 {
@@ -187,10 +187,10 @@
 	if err != nil {
 		b = append(b, []byte("\nbroken: "+err.Error())...)
 	}
-	return answer{resp.StatusCode, resp.Header, string(b)}
+	return response{resp.StatusCode, resp.Header, string(b)}
 }
 
-func completion(model string, tokens int, stream bool) string {
+func completionBody(model string, tokens int, stream bool) string {
 	var b bytes.Buffer
 	_, _ = fmt.Fprintf(&b, `{"model":%q,"max_tokens":%d,"stream":%t,"prompt":"x"}`, model, tokens, stream)
 	return b.String()
--- a/internal/box/hop_test.go
+++ b/internal/box/hop_test.go
@@ -13,21 +13,23 @@
 	"github.com/bellgap/bellgap/internal/gateway"
 )
 
-// TestLongAnswerOverAHop asks both boxes for an answer that is not streamed and takes longer than a silent owner is waited for.
-func TestLongAnswerOverAHop(t *testing.T) {
+// TestLongResponseThroughOtherBox requests a response that is not streamed from both boxes. The response takes longer than a box waits for an owner
+// that sends nothing.
+func TestLongResponseThroughOtherBox(t *testing.T) {
 	c := qt.New(t)
 	slow := smallEngine()
 	slow.Step = 100 * time.Millisecond
 	f := startFleet(c, fleetConfig{boxes: 2, engines: []fakeengine.Config{slow}})
 	for _, b := range f.boxes {
-		a := f.ask(b, "/v1/completions", completion(modelName, 25, false))
+		a := f.post(b, "/v1/completions", completionBody(modelName, 25, false))
 		c.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a.body))
 	}
 	c.Check(f.engines[0].History().Runs, qt.HasLen, 2)
 }
 
-// TestCallerThatGoesCastsNoDoubtOnTheOwner leaves while a load holds the request up on another box.
-func TestCallerThatGoesCastsNoDoubtOnTheOwner(t *testing.T) {
+// TestDisconnectedCallerDoesNotMarkOwnerFailed disconnects callers while their requests wait for a load. The boxes must still name the same owner
+// afterwards.
+func TestDisconnectedCallerDoesNotMarkOwnerFailed(t *testing.T) {
 	c := qt.New(t)
 	loading := make(chan struct{}, 10)
 	stuck := smallEngine()
@@ -41,7 +43,7 @@
 	for _, b := range f.boxes {
 		ctx, cancel := context.WithCancel(c.Context())
 		url := "http://" + b.CallerAddress().String() + "/v1/completions"
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(completion(modelName, 1, false)))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(completionBody(modelName, 1, false)))
 		c.Assert(err, qt.IsNil)
 		req.Header.Set(gateway.HeaderTimeout, "1m")
 		time.AfterFunc(100*time.Millisecond, cancel)
@@ -49,7 +51,7 @@
 		c.Assert(err, qt.ErrorIs, context.Canceled)
 	}
 	<-loading
-	f.until(func() bool { return f.boxes[0].InFlight()+f.boxes[1].InFlight() == 0 })
+	f.waitUntil(func() bool { return f.boxes[0].InFlight()+f.boxes[1].InFlight() == 0 })
 	for _, b := range f.boxes {
 		after := f.send(http.MethodGet, "http://"+b.CallerAddress().String()+"/locate?model="+modelName, nil).body
 		c.Check(after, qt.Equals, before)
--- a/internal/box/input_test.go
+++ b/internal/box/input_test.go
@@ -14,7 +14,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// slowReader never sends its second byte.
+// slowReader returns one byte and then blocks.
 type slowReader struct {
 	sent  bool
 	never chan struct{}
@@ -41,16 +41,16 @@
 	}{
 		{"malformed", `{"model":`, nil, result.BadRequest},
 		{"no model", `{}`, nil, result.BadRequest},
-		{"model without version", completion("boundary", 1, false), nil, result.BadRequest},
-		{"unknown adapter", completion("other@1", 1, false), nil, result.UnknownAdapter},
-		{"unknown version", completion("boundary@4", 1, false), nil, result.UnknownVersion},
-		{"oversized", completion(modelName+strings.Repeat("x", 70<<10), 1, false), nil, result.BodyTooLarge},
-		{"expired", completion(modelName, 1, false), []string{"Bellgap-Timeout", "0s"}, result.DeadlineExpired},
-		{"bad timeout", completion(modelName, 1, false), []string{"Bellgap-Timeout", "soon"}, result.BadRequest},
-		{"unknown priority", completion(modelName, 1, false), []string{"Bellgap-Priority", "top"}, result.BadRequest},
+		{"model without version", completionBody("boundary", 1, false), nil, result.BadRequest},
+		{"unknown adapter", completionBody("other@1", 1, false), nil, result.UnknownAdapter},
+		{"unknown version", completionBody("boundary@4", 1, false), nil, result.UnknownVersion},
+		{"oversized", completionBody(modelName+strings.Repeat("x", 70<<10), 1, false), nil, result.BodyTooLarge},
+		{"expired", completionBody(modelName, 1, false), []string{"Bellgap-Timeout", "0s"}, result.DeadlineExpired},
+		{"bad timeout", completionBody(modelName, 1, false), []string{"Bellgap-Timeout", "soon"}, result.BadRequest},
+		{"unknown priority", completionBody(modelName, 1, false), []string{"Bellgap-Priority", "top"}, result.BadRequest},
 	} {
 		c.Run(tt.name, func(c *qt.C) {
-			checkRefusal(c, f.ask(f.boxes[0], "/v1/completions", tt.body, tt.header...), tt.want)
+			checkRefusal(c, f.post(f.boxes[0], "/v1/completions", tt.body, tt.header...), tt.want)
 		})
 	}
 	c.Run("slow", func(c *qt.C) {
@@ -62,7 +62,7 @@
 	c.Check(f.engines[0].History().Runs, qt.HasLen, 0)
 }
 
-func checkRefusal(c *qt.C, a answer, want result.Code) {
+func checkRefusal(c *qt.C, a response, want result.Code) {
 	c.Check(a.header.Get(result.HeaderCode), qt.Equals, fmt.Sprint(int(want)), qt.Commentf("%s", a.body))
 	c.Check(a.status, qt.Equals, want.Info().Status)
 	c.Check(a.header.Get(result.HeaderRan), qt.Equals, "no")
--- a/internal/box/kinds.go
+++ b/internal/box/kinds.go
@@ -10,34 +10,35 @@
 )
 
 const (
-	// endpointPace is the least time between two looks at the endpoints, whose entries change with every adapter loaded: a
-	// leaving endpoint must get no work two seconds after it has said so.
-	endpointPace = 700 * time.Millisecond
-	// endpointWait bounds a watch of the endpoints: a path that has fallen silent is noticed that much later.
-	endpointWait = 700 * time.Millisecond
-	// routingWait and versionWait are how long watches of the configuration and of adapter versions wait. One that the store no longer
-	// answers or tells of changes is deaf for that long, also when the store is back, and no other call shows it: a configuration
-	// has to be in force two seconds after its acknowledgement, a version after five.
-	routingWait = 1500 * time.Millisecond
-	versionWait = 3 * time.Second
-	// revocationWatches is how many watches of a box that tells others fit into the time in which keys are revoked. What a watch confirms is its
-	// beginning, so the coordinator's word is up to two of them old, and that of the last box three heartbeats more: 1.7 of 5 s. The age that
-	// boxes have when the store is lost is time for which they can serve the less.
-	revocationWatches = 20
-	// mapWait is how long a watch of the cell map waits, which also comes with heartbeats. It is given up early when another call
-	// fails.
-	mapWait = 6 * time.Second
-	// mapPace is the least time between two such watches: after a loss of many boxes the map changes at every heartbeat and more.
-	mapPace = 400 * time.Millisecond
+	// endpointMinInterval is the minimum interval between two reads of the endpoints, whose entries change with every loaded adapter. It must be
+	// short enough that a leaving endpoint gets no requests later than two seconds after it has reported that it is leaving.
+	endpointMinInterval = 700 * time.Millisecond
+	// endpointWatchWait limits the duration of a watch of the endpoints. A connection that fails without an error is detected only after this time.
+	endpointWatchWait = 700 * time.Millisecond
+	// routingWatchWait and versionWatchWait limit the duration of the watches of the configuration and of adapter versions. If the store stops
+	// responding to a watch or stops sending changes, the watch misses changes until it ends, even if the store has recovered meanwhile, and no
+	// other call detects this. A configuration must be in effect two seconds after its acknowledgement, an adapter version after five seconds.
+	routingWatchWait = 1500 * time.Millisecond
+	versionWatchWait = 3 * time.Second
+	// watchesPerRevocation is the number of watches, by a box that relays changes, within the time limit for revoking keys. A watch confirms the
+	// state at its start. The coordinator's confirmation is therefore up to two watches old, and that of the last box three heartbeats more: 1.7 s
+	// of the limit of 5 s. When the store is lost, the age of this confirmation shortens the time for which boxes can continue to serve.
+	watchesPerRevocation = 20
+	// mapWatchWait limits the duration of a watch of the cell map. It can be long, because the map also arrives with heartbeats and the watch is
+	// cancelled early when another call fails.
+	mapWatchWait = 6 * time.Second
+	// mapMinInterval is the minimum interval between two watches of the cell map. After the loss of many boxes, the map changes at least once per
+	// heartbeat.
+	mapMinInterval = 400 * time.Millisecond
 )
 
-// followedKinds returns the kinds that a box follows. Where keys are revoked within a bound, boxes that tell others ask for the configuration more
-// often.
+// followedKinds returns the kinds that a box follows. If there is a time limit for revoking keys, boxes that relay changes request the configuration
+// more often.
 func followedKinds(s settings.Customers) []follow.Kind {
 	return []follow.Kind{
-		{Name: string(resource.KindRouting), Wait: routingWait, TellWait: s.RevokedWithin / revocationWatches, Relayed: true, Confirmed: true},
-		{Name: string(resource.KindEndpoint), Pace: endpointPace, Wait: endpointWait, Lapses: true, With: []string{string(resource.KindHolding)}, Relayed: true, Probes: true},
-		{Name: string(resource.KindAdapterVersion), Wait: versionWait, Relayed: true},
-		{Name: coordinator.MapKind, Pace: mapPace, Wait: mapWait, Ours: true},
+		{Name: string(resource.KindRouting), Wait: routingWatchWait, TellWait: s.RevokedWithin / watchesPerRevocation, Relayed: true, Confirmed: true},
+		{Name: string(resource.KindEndpoint), Pace: endpointMinInterval, Wait: endpointWatchWait, Lapses: true, With: []string{string(resource.KindHolding)}, Relayed: true, Probes: true},
+		{Name: string(resource.KindAdapterVersion), Wait: versionWatchWait, Relayed: true},
+		{Name: coordinator.MapKind, Pace: mapMinInterval, Wait: mapWatchWait, Ours: true},
 	}
 }
--- a/internal/box/leave_test.go
+++ b/internal/box/leave_test.go
@@ -16,8 +16,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// TestPlannedStopInterruptsNothing stops a box while streams run through it and requests keep coming to the others.
-func TestPlannedStopInterruptsNothing(t *testing.T) {
+// TestPlannedStopInterruptsNoRequest stops a box while streams run through it and the other boxes receive requests. No request may fail.
+func TestPlannedStopInterruptsNoRequest(t *testing.T) {
 	c := qt.New(t)
 	engine := smallEngine()
 	engine.Step = 20 * time.Millisecond
@@ -25,22 +25,22 @@
 	leaving := f.boxes[0]
 	var group errgroup.Group
 	var mu sync.Mutex
-	var answers []answer
-	keep := func(a answer) {
+	var answers []response
+	record := func(a response) {
 		mu.Lock()
 		defer mu.Unlock()
 		answers = append(answers, a)
 	}
 	for range 6 {
 		group.Go(func() error {
-			keep(f.ask(leaving, "/v1/completions", completion(modelName, 50, true)))
+			record(f.post(leaving, "/v1/completions", completionBody(modelName, 50, true)))
 			return nil
 		})
 	}
-	f.until(func() bool { return f.engines[0].Report().Running+f.engines[1].Report().Running == 6 })
+	f.waitUntil(func() bool { return f.engines[0].Report().Running+f.engines[1].Report().Running == 6 })
 	leaving.stop()
 	for i := range 200 {
-		keep(f.ask(f.boxes[1+i%2], "/v1/completions", completion(modelName, 1, false)))
+		record(f.post(f.boxes[1+i%2], "/v1/completions", completionBody(modelName, 1, false)))
 	}
 	c.Check(leaving.group.Wait(), qt.IsNil)
 	c.Assert(group.Wait(), qt.IsNil)
@@ -53,60 +53,61 @@
 	}
 }
 
-// TestLeavingBoxSaysWhereToGo asks a leaving box that is kept by a stream.
-func TestLeavingBoxSaysWhereToGo(t *testing.T) {
+// TestLeavingBoxRefersCallersToOtherBox sends a request to a box that is leaving but still serves a stream. The refusal must name the other box.
+func TestLeavingBoxRefersCallersToOtherBox(t *testing.T) {
 	c := qt.New(t)
 	engine := smallEngine()
 	engine.Step = 20 * time.Millisecond
 	f := startFleet(c, fleetConfig{boxes: 2, engines: []fakeengine.Config{engine}})
 	var group errgroup.Group
-	var kept answer
+	var streamed response
 	group.Go(func() error {
-		kept = f.ask(f.boxes[0], "/v1/completions", completion(modelName, 60, true))
+		streamed = f.post(f.boxes[0], "/v1/completions", completionBody(modelName, 60, true))
 		return nil
 	})
-	f.until(func() bool { return f.engines[0].Report().Running == 1 })
+	f.waitUntil(func() bool { return f.engines[0].Report().Running == 1 })
 	f.boxes[0].stop()
-	var a answer
-	f.until(func() bool {
-		a = f.ask(f.boxes[0], "/v1/completions", completion(modelName, 1, false))
+	var a response
+	f.waitUntil(func() bool {
+		a = f.post(f.boxes[0], "/v1/completions", completionBody(modelName, 1, false))
 		return a.status != http.StatusOK
 	})
 	checkRefusal(c, a, result.Leaving)
 	c.Check(a.body, qt.Contains, f.boxes[1].CallerAddress().String())
 	c.Check(a.header.Get("Retry-After"), qt.Equals, "1")
 	c.Assert(group.Wait(), qt.IsNil)
-	c.Check(strings.HasSuffix(kept.body, "data: [DONE]\n\n"), qt.IsTrue, qt.Commentf("%s", kept.body))
+	c.Check(strings.HasSuffix(streamed.body, "data: [DONE]\n\n"), qt.IsTrue, qt.Commentf("%s", streamed.body))
 }
 
-// TestLeavingEngineBoxGetsNoNewWork lists an engine's box as leaving while it streams and others wait for it.
-func TestLeavingEngineBoxGetsNoNewWork(t *testing.T) {
+// TestEngineOnLeavingBoxGetsNoNewRequests lists an engine's box as leaving during a stream of this engine. The stream must continue, and new requests
+// must go to the other engine.
+func TestEngineOnLeavingBoxGetsNoNewRequests(t *testing.T) {
 	c := qt.New(t)
 	engine := smallEngine()
 	engine.Step = 10 * time.Millisecond
 	f := startFleet(c, fleetConfig{boxes: 2, engines: []fakeengine.Config{engine, engine}})
 	var group errgroup.Group
-	var kept answer
+	var streamed response
 	group.Go(func() error {
-		kept = f.ask(f.boxes[0], "/v1/completions", completion(modelName, 100, true))
+		streamed = f.post(f.boxes[0], "/v1/completions", completionBody(modelName, 100, true))
 		return nil
 	})
 	running := func(i int) bool { return f.engines[i].Report().Running > 0 }
-	f.until(func() bool { return running(0) || running(1) })
+	f.waitUntil(func() bool { return running(0) || running(1) })
 	leaving := 0
 	if running(1) {
 		leaving = 1
 	}
 	f.platform.SetBoxes([]objects.Box{{Name: fmt.Sprintf("host-%d", leaving+1), State: objects.BoxLeaving}})
 	for _, b := range f.boxes {
-		f.until(func() bool { return len(b.Topology().ByModel[baseModel]) == 1 })
+		f.waitUntil(func() bool { return len(b.Topology().ByModel[baseModel]) == 1 })
 	}
 	before := len(f.engines[leaving].History().Runs)
 	for i := range 40 {
-		a := f.ask(f.boxes[i%2], "/v1/completions", completion(modelName, 1, false))
+		a := f.post(f.boxes[i%2], "/v1/completions", completionBody(modelName, 1, false))
 		c.Check(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a.body))
 	}
 	c.Check(f.engines[leaving].History().Runs, qt.HasLen, before)
 	c.Assert(group.Wait(), qt.IsNil)
-	c.Check(strings.HasSuffix(kept.body, "data: [DONE]\n\n"), qt.IsTrue, qt.Commentf("%s", kept.body))
+	c.Check(strings.HasSuffix(streamed.body, "data: [DONE]\n\n"), qt.IsTrue, qt.Commentf("%s", streamed.body))
 }
--- a/internal/box/notice_test.go
+++ b/internal/box/notice_test.go
@@ -15,14 +15,14 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// noticeFleet is a fleet of three boxes before two engines and a service with two addresses.
+// noticeFleet is a fleet of three boxes, two engines and a service with two addresses, with callers that send requests until they are stopped.
 type noticeFleet struct {
 	*fleet
 	engines  []*fakeengine.Engine
 	services []*fakeservice.Service
-	// atEngines and atServices note what comes to each.
-	atEngines  []*counting
-	atServices []*counting
+	// atEngines and atServices record the requests at each engine and each address of the service.
+	atEngines  []*requestCounter
+	atServices []*requestCounter
 	stop       chan struct{}
 	callers    errgroup.Group
 }
@@ -33,18 +33,18 @@
 	for i := range 2 {
 		e, s := fakeengine.New(smallEngine()), fakeservice.New("lookup")
 		f.engines, f.services = append(f.engines, e), append(f.services, s)
-		f.atEngines, f.atServices = append(f.atEngines, &counting{handler: e.Handler()}), append(f.atServices, &counting{handler: s.Handler()})
+		f.atEngines, f.atServices = append(f.atEngines, &requestCounter{handler: e.Handler()}), append(f.atServices, &requestCounter{handler: s.Handler()})
 		f.declare(fmt.Sprint("engine-", i), &resource.Engine{
-			Address: f.listen(f.atEngines[i]), Box: fmt.Sprint("host-", i), Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksOrders: true,
+			Address: f.startServer(f.atEngines[i]), Box: fmt.Sprint("host-", i), Zone: zone, BaseModel: baseModel, Slots: 4, Batch: 8, ChecksOrders: true,
 		})
-		addresses = append(addresses, f.listen(f.atServices[i]))
+		addresses = append(addresses, f.startServer(f.atServices[i]))
 	}
 	f.declare("lookup", &resource.Service{Addresses: addresses, Timeout: resource.Duration(time.Minute)})
-	f.settle(3, 2)
+	f.waitUntilSettled(3, 2)
 	for i := range 6 {
 		f.callers.Go(func() error {
-			for n := 0; ; n++ {
-				f.both(f.boxes[(i+n)%3], fmt.Sprint(i, n))
+			for call := 0; ; call++ {
+				f.sendBoth(f.boxes[(i+call)%3], fmt.Sprint(i, call))
 				select {
 				case <-f.stop:
 					return nil
@@ -56,24 +56,24 @@
 	return f
 }
 
-// both sends one request for an engine and one call of the service through a box.
-func (f *noticeFleet) both(b *running, id string) []answer {
-	return []answer{
-		f.ask(b, "/v1/completions", completion(modelName, 2, true)),
-		f.ask(b, "/services/lookup/x", id, "Bellgap-Repeatable", "no"),
+// sendBoth sends a completion request and a call of the service through a box.
+func (f *noticeFleet) sendBoth(b *runningBox, id string) []response {
+	return []response{
+		f.post(b, "/v1/completions", completionBody(modelName, 2, true)),
+		f.post(b, "/services/lookup/x", id, "Bellgap-Repeatable", "no"),
 	}
 }
 
-func (f *noticeFleet) end(c *qt.C) {
+func (f *noticeFleet) stopCallers(c *qt.C) {
 	close(f.stop)
 	c.Assert(f.callers.Wait(), qt.IsNil)
 }
 
-// checkRefused checks that what nobody takes is refused at once as not run, with a time to come back.
+// checkRefused checks that requests which no back end accepts are refused at once, as not run and with a Retry-After header.
 func (f *noticeFleet) checkRefused(c *qt.C, id, code string) {
 	c.Helper()
 	sent := time.Now()
-	for _, a := range f.both(f.boxes[0], id) {
+	for _, a := range f.sendBoth(f.boxes[0], id) {
 		c.Check(a.status, qt.Equals, http.StatusServiceUnavailable)
 		c.Check(a.header.Get("Bellgap-Code"), qt.Equals, code)
 		c.Check(a.header.Get("Bellgap-Ran"), qt.Equals, "no")
@@ -82,14 +82,15 @@
 	c.Check(time.Since(sent) < 500*time.Millisecond, qt.IsTrue)
 }
 
-// since returns how many requests came from a time on.
-func (a *counting) since(from time.Time) int {
-	n, _ := a.most(from)
+// countSince returns the number of requests since a time.
+func (a *requestCounter) countSince(from time.Time) int {
+	n, _ := a.peakAndRate(from)
 	return n
 }
 
-// TestLeavingOnOwnInterface: an engine and an address of a service say that they leave; then all do. An engine that starts again is used again.
-func TestLeavingOnOwnInterface(t *testing.T) {
+// TestLeavingEnginesAndServices makes an engine and an address of a service report that they are leaving. Both must get no more requests. Requests must
+// be refused when the others leave too, and be served when an engine has restarted.
+func TestLeavingEnginesAndServices(t *testing.T) {
 	c := qt.New(t)
 	f := startNoticeFleet(c)
 	time.Sleep(500 * time.Millisecond)
@@ -98,9 +99,9 @@
 	time.Sleep(2 * time.Second)
 	from := time.Now()
 	time.Sleep(time.Second)
-	c.Check(f.atEngines[0].since(from), qt.Equals, 0)
-	c.Check(f.atServices[0].since(from), qt.Equals, 0)
-	for _, a := range f.both(f.boxes[0], "one") {
+	c.Check(f.atEngines[0].countSince(from), qt.Equals, 0)
+	c.Check(f.atServices[0].countSince(from), qt.Equals, 0)
+	for _, a := range f.sendBoth(f.boxes[0], "one") {
 		c.Check(a.header.Get("Bellgap-Code"), qt.Equals, "1000")
 	}
 	f.engines[1].SetFaults(fakeengine.Faults{Leaving: true})
@@ -108,14 +109,15 @@
 	time.Sleep(2 * time.Second)
 	f.checkRefused(c, "two", "3015")
 	f.engines[1].Restart()
-	f.until(func() bool {
-		return f.both(f.boxes[1], "three")[0].status == http.StatusOK
+	f.waitUntil(func() bool {
+		return f.sendBoth(f.boxes[1], "three")[0].status == http.StatusOK
 	})
-	f.end(c)
+	f.stopCallers(c)
 }
 
-// TestRestOnOwnInterface: an engine and an address of a service turn away what comes and ask for rest; then all do. After it they are used again.
-func TestRestOnOwnInterface(t *testing.T) {
+// TestPausedEnginesAndServices makes an engine and an address of a service refuse requests and request a pause. Both must get no requests during the
+// pause. Requests must be refused when the others pause too, and be served after the pause.
+func TestPausedEnginesAndServices(t *testing.T) {
 	c := qt.New(t)
 	f := startNoticeFleet(c)
 	time.Sleep(500 * time.Millisecond)
@@ -128,18 +130,18 @@
 		f.services[i].SetFaults(fakeservice.Faults{})
 	}
 	time.Sleep(time.Second)
-	c.Check(f.atEngines[0].since(from), qt.Equals, 0)
-	c.Check(f.atServices[0].since(from), qt.Equals, 0)
-	for _, a := range f.both(f.boxes[0], "one") {
+	c.Check(f.atEngines[0].countSince(from), qt.Equals, 0)
+	c.Check(f.atServices[0].countSince(from), qt.Equals, 0)
+	for _, a := range f.sendBoth(f.boxes[0], "one") {
 		c.Check(a.header.Get("Bellgap-Code"), qt.Equals, "1000")
 	}
 	f.engines[1].SetFaults(fakeengine.Faults{Rest: "8"})
 	f.services[1].SetFaults(fakeservice.Faults{Rest: "8"})
 	time.Sleep(500 * time.Millisecond)
 	f.checkRefused(c, "two", "3014")
-	f.until(func() bool {
-		both := f.both(f.boxes[1], "three")
+	f.waitUntil(func() bool {
+		both := f.sendBoth(f.boxes[1], "three")
 		return both[0].status == http.StatusOK && both[1].status == http.StatusOK
 	})
-	f.end(c)
+	f.stopCallers(c)
 }
--- a/internal/box/orders.go
+++ b/internal/box/orders.go
@@ -9,31 +9,31 @@
 	"github.com/bellgap/bellgap/internal/quarantine"
 )
 
-// quarantinedOrders keeps an adapter whose load ends engines from ending more: each of its requests, at whichever box owns the next engine, would order
-// the load anew, and twelve requests ended 33 engines.
-type quarantinedOrders struct {
+// quarantiningEngines refuses load orders for adapters whose load has crashed engines. Otherwise each request for such an adapter would order the load
+// again at the next engine, whichever box owns it: twelve requests crashed 33 engines.
+type quarantiningEngines struct {
 	owner.Engines
 	quarantine *quarantine.Client
 }
 
-var _ owner.Engines = quarantinedOrders{}
+var _ owner.Engines = quarantiningEngines{}
 
 // Give implements owner.Engines.
-func (q quarantinedOrders) Give(ctx context.Context, to engine.Target, o engine.Order) error {
-	if o.Action != engine.ActionLoad {
-		return q.Engines.Give(ctx, to, o)
+func (q quarantiningEngines) Give(ctx context.Context, target engine.Target, order engine.Order) error {
+	if order.Action != engine.ActionLoad {
+		return q.Engines.Give(ctx, target, order)
 	}
-	// A version is another load: one that is named later is tried anew.
-	load := quarantine.Identity{Method: string(o.Action), Path: o.Model}.Suspect()
-	if rerr := q.quarantine.Refusal(load.Fingerprint); rerr != nil {
+	// The model name includes the version, so that a load of a later version is not refused.
+	suspect := quarantine.Identity{Method: string(order.Action), Path: order.Model}.Suspect()
+	if rerr := q.quarantine.Refusal(suspect.Fingerprint); rerr != nil {
 		return &engine.OrderRefusedError{Type: engine.RefusalLoadFailed, Message: rerr.Error()}
 	}
-	err := q.Engines.Give(ctx, to, o)
+	err := q.Engines.Give(ctx, target, order)
 	switch {
 	case err == nil:
-		q.quarantine.Ran(load.Fingerprint)
+		q.quarantine.Ran(suspect.Fingerprint)
 	case errors.Is(err, engine.ErrBrokenOff):
-		q.quarantine.BrokenOff(ctx, load, quarantine.Endpoint{Name: to.Name, Address: to.Address})
+		q.quarantine.BrokenOff(ctx, suspect, quarantine.Endpoint{Name: target.Name, Address: target.Address})
 	}
 	return err
 }
--- a/internal/box/path_test.go
+++ b/internal/box/path_test.go
@@ -13,7 +13,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-func TestWholePath(t *testing.T) {
+func TestCompletionsThroughEachBox(t *testing.T) {
 	c := qt.New(t)
 	f := startFleet(c, fleetConfig{boxes: 3, engines: []fakeengine.Config{smallEngine(), smallEngine()}})
 	for _, tt := range []struct {
@@ -29,7 +29,7 @@
 	} {
 		c.Run(tt.name, func(c *qt.C) {
 			for _, b := range f.boxes {
-				a := f.ask(b, tt.path, completion(modelName, 4, tt.stream), result.HeaderRequest, "mine")
+				a := f.post(b, tt.path, completionBody(modelName, 4, tt.stream), result.HeaderRequest, "mine")
 				c.Assert(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a.body))
 				c.Check(a.body, qt.Contains, tt.want)
 				c.Check(a.body, qt.Contains, modelName+":3")
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestAnswersNameWhatWasAsked(t *testing.T) {
+func TestResponsesMatchRequestedModel(t *testing.T) {
 	c := qt.New(t)
 	f := startFleet(c, fleetConfig{boxes: 3, engines: []fakeengine.Config{smallEngine(), smallEngine()}})
 	var models []string
@@ -48,12 +48,12 @@
 		models = append(models, fmt.Sprintf("adapter-%d@1", i))
 		f.declareAdapter(models[i])
 	}
-	f.until(func() bool {
-		return f.boxes[2].Topology() != nil && f.ask(f.boxes[2], "/v1/completions", completion(models[19], 1, false)).status == 200
+	f.waitUntil(func() bool {
+		return f.boxes[2].Topology() != nil && f.post(f.boxes[2], "/v1/completions", completionBody(models[19], 1, false)).status == 200
 	})
 	for i := range 120 {
 		model := models[i*i%len(models)]
-		a := f.ask(f.boxes[i%3], "/v1/completions", completion(model, 2, i%2 == 0))
+		a := f.post(f.boxes[i%3], "/v1/completions", completionBody(model, 2, i%2 == 0))
 		c.Assert(a.status, qt.Equals, http.StatusOK, qt.Commentf("%s", a.body))
 		c.Assert(strings.Count(a.body, `"model":"`+model+`"`) > 0, qt.IsTrue)
 		c.Assert(strings.Contains(a.body, model+":1"), qt.IsTrue)
@@ -63,26 +63,26 @@
 	}
 }
 
-func TestService(t *testing.T) {
+func TestServiceCalls(t *testing.T) {
 	c := qt.New(t)
 	f := startFleet(c, fleetConfig{boxes: 1, engines: []fakeengine.Config{smallEngine()}})
 	for _, tt := range []struct {
-		name    string
-		path    string
-		breaks  int
-		mark    string
-		want    result.Code
-		wantRun int
+		name          string
+		path          string
+		lostResponses int
+		repeatable    string
+		want          result.Code
+		wantRun       int
 	}{
 		{"plain", "/services/titles/lots", 0, "", result.OK, 1},
-		{"not repeated when the answer is lost", "/services/titles/lots", 1, "", result.AnswerLost, 1},
-		{"never repeated where declared so", "/services/titles/notice/7", 1, "yes", result.AnswerLost, 1},
+		{"not retried when the response is lost", "/services/titles/lots", 1, "", result.AnswerLost, 1},
+		{"never retried on a path declared unrepeatable", "/services/titles/notice/7", 1, "yes", result.AnswerLost, 1},
 		{"marked as not repeatable", "/services/titles/lots", 1, "no", result.AnswerLost, 1},
 	} {
 		c.Run(tt.name, func(c *qt.C) {
-			f.service.SetFaults(fakeservice.Faults{BreakAfterRun: tt.breaks})
+			f.service.SetFaults(fakeservice.Faults{BreakAfterRun: tt.lostResponses})
 			id := strings.ReplaceAll(tt.name, " ", "-")
-			a := f.ask(f.boxes[0], tt.path, "lot 7", result.HeaderRequest, id, "Bellgap-Repeatable", tt.mark)
+			a := f.post(f.boxes[0], tt.path, "lot 7", result.HeaderRequest, id, "Bellgap-Repeatable", tt.repeatable)
 			c.Check(a.header.Get(result.HeaderCode), qt.Equals, fmt.Sprint(int(tt.want)))
 			c.Check(f.service.Runs()[id], qt.Equals, tt.wantRun)
 		})
--- a/internal/box/process_test.go
+++ b/internal/box/process_test.go
@@ -25,7 +25,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// daemonVariable makes the test binary run as the daemon.
+// daemonVariable is the environment variable that makes the test binary run as the daemon.
 const daemonVariable = "BELLGAP_TEST_DAEMON"
 
 func TestMain(m *testing.M) {
@@ -35,14 +35,14 @@
 	os.Exit(m.Run())
 }
 
-// process is a box as a process of its own.
+// process is a box that runs as a separate process.
 type process struct {
 	name    string
 	cmd     *exec.Cmd
 	address netip.AddrPort
 }
 
-const settingsForm = `[box]
+const settingsTemplate = `[box]
 name = %q
 zone = "hall-a"
 [listen]
@@ -64,13 +64,13 @@
 func (f *fleet) startProcess(name string) *process {
 	dir := f.c.TempDir()
 	settings, address := filepath.Join(dir, "box.toml"), filepath.Join(dir, "address")
-	f.c.Assert(os.WriteFile(settings, fmt.Appendf(nil, settingsForm, name, f.address.String()), 0o600), qt.IsNil)
+	f.c.Assert(os.WriteFile(settings, fmt.Appendf(nil, settingsTemplate, name, f.address.String()), 0o600), qt.IsNil)
 	cmd := exec.Command(os.Args[0], "--settings", settings, "--address-file", address)
 	cmd.Env = append(os.Environ(), daemonVariable+"=1")
 	f.c.Assert(cmd.Start(), qt.IsNil)
 	p := &process{name: name, cmd: cmd}
 	f.c.Cleanup(p.kill)
-	f.until(func() bool {
+	f.waitUntil(func() bool {
 		b, err := os.ReadFile(address)
 		if err != nil {
 			return false
@@ -78,7 +78,7 @@
 		p.address = netip.MustParseAddrPort(strings.Fields(string(b))[0])
 		return true
 	})
-	f.until(func() bool {
+	f.waitUntil(func() bool {
 		resp, err := http.Get("http://" + p.address.String() + "/locate?model=" + modelName)
 		if err != nil {
 			return false
@@ -96,16 +96,16 @@
 	_ = p.cmd.Wait()
 }
 
-// storm is requests and faults at the same time.
-type storm struct {
+// chaosRun sends requests to boxes and injects faults into these boxes at the same time.
+type chaosRun struct {
 	fleet    *fleet
 	mu       sync.Mutex
 	boxes    []*process
 	outcomes []invariant.Outcome
 }
 
-// request asks a box for one answer and keeps what it was told.
-func (s *storm) request(ctx context.Context, client *http.Client, id string, r *rand.Rand, models int) {
+// sendRequest sends a request to a random box and records the outcome.
+func (s *chaosRun) sendRequest(ctx context.Context, client *http.Client, id string, r *rand.Rand, models int) {
 	s.mu.Lock()
 	address := s.boxes[r.IntN(len(s.boxes))].address
 	s.mu.Unlock()
@@ -130,8 +130,8 @@
 	s.outcomes = append(s.outcomes, o)
 }
 
-// fault freezes, thaws, kills or stops a box; a box that ended is replaced.
-func (s *storm) fault(r *rand.Rand, step int) {
+// injectFault freezes, kills or stops a random box. A frozen box continues after a while, and a box that has ended is replaced.
+func (s *chaosRun) injectFault(r *rand.Rand, step int) {
 	i := r.IntN(len(s.boxes))
 	p := s.boxes[i]
 	switch r.IntN(4) {
@@ -141,23 +141,23 @@
 		p.signal(syscall.SIGCONT)
 	case 2:
 		p.kill()
-		s.replace(i, step)
+		s.replaceBox(i, step)
 	case 3:
 		p.signal(syscall.SIGTERM)
 		_ = p.cmd.Wait()
-		s.replace(i, step)
+		s.replaceBox(i, step)
 	}
 }
 
-func (s *storm) replace(i, step int) {
+func (s *chaosRun) replaceBox(i, step int) {
 	p := s.fleet.startProcess(fmt.Sprintf("box-%d-%d", i, step))
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.boxes[i] = p
 }
 
-// wholeAnswer reports whether an answer is all five tokens of the adapter asked for, and nothing else.
-func wholeAnswer(o invariant.Outcome) bool {
+// isCompleteAnswer reports whether the response contains all five tokens of the requested adapter and no events of another adapter.
+func isCompleteAnswer(o invariant.Outcome) bool {
 	for i := range 5 {
 		if !strings.Contains(o.Answer, fmt.Sprintf("%s:%d ", o.Model, i)) {
 			return false
@@ -166,8 +166,9 @@
 	return strings.Count(o.Answer, `"model":"`) == strings.Count(o.Answer, `"model":"`+o.Model+`"`)
 }
 
-// TestStorm kills, freezes and stops boxes under requests that may not be repeated.
-func TestStorm(t *testing.T) {
+// TestRequestsUnderBoxFaults kills, freezes and stops boxes while they receive requests that may not be repeated. No request may run twice, be
+// wrongly reported as not run, or get a wrong response.
+func TestRequestsUnderBoxFaults(t *testing.T) {
 	const workers, requests, faults, models = 8, 60, 10, 12
 	c := qt.New(t)
 	engines := []fakeengine.Config{smallEngine(), smallEngine(), smallEngine()}
@@ -176,7 +177,7 @@
 	for i := range models {
 		f.declareAdapter(fmt.Sprintf("adapter-%d@1", i))
 	}
-	s := &storm{fleet: f}
+	s := &chaosRun{fleet: f}
 	for i := range 3 {
 		s.boxes = append(s.boxes, f.startProcess(fmt.Sprintf("box-%d", i)))
 	}
@@ -186,7 +187,7 @@
 			client := &http.Client{Transport: &http.Transport{}}
 			r := rand.New(rand.NewPCG(uint64(w), 5))
 			for i := range requests {
-				s.request(t.Context(), client, fmt.Sprintf("request-%d-%d", w, i), r, models)
+				s.sendRequest(t.Context(), client, fmt.Sprintf("request-%d-%d", w, i), r, models)
 				time.Sleep(time.Duration(r.IntN(200)) * time.Millisecond)
 			}
 			return nil
@@ -194,20 +195,20 @@
 	}
 	r := rand.New(rand.NewPCG(1, 5))
 	for step := range faults {
-		s.fault(r, step)
+		s.injectFault(r, step)
 	}
 	c.Assert(group.Wait(), qt.IsNil)
 	runs := map[string]int{}
 	for _, e := range f.engines {
 		h := e.History()
-		c.Check(invariant.NeverUnloadedInUse(h.Violations), qt.IsNil)
+		c.Check(invariant.CheckUnloads(h.Violations), qt.IsNil)
 		for id, n := range h.Users {
 			runs[id] += n
 		}
 	}
 	c.Check(invariant.AtMostOnce(s.outcomes, runs), qt.IsNil)
 	c.Check(invariant.NotRunIsTrue(s.outcomes, runs), qt.IsNil)
-	c.Check(invariant.OwnAnswers(s.outcomes, wholeAnswer), qt.IsNil)
+	c.Check(invariant.CheckAnswers(s.outcomes, isCompleteAnswer), qt.IsNil)
 	served := 0
 	for _, o := range s.outcomes {
 		if o.Served {
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -38,27 +38,28 @@
 )
 
 const (
-	// orderMargin is added to the gap between two owners' orders, for messages on their way.
+	// orderMargin is added to the time between the orders of two successive owners, to allow for messages in transit.
 	orderMargin = 200 * time.Millisecond
-	// silentBeats is how many heartbeats a box may miss before callers are not sent to it.
-	silentBeats = 3
-	// firstWatchBeats is for how many heartbeats after a start a box waits for its first before it watches the store itself: a coordinator is
-	// there within one or two when all start at once.
-	firstWatchBeats = 2
-	// tellShare is the part of a box's link that may pass large changes on: heartbeats have to be answered in time beside them.
-	tellShare    = 0.1
-	bytesPerMbit = 1e6 / 8
-	// packed is how many bytes of a large change go into one of a compressed message, at the least: maps shrink to a seventh.
-	packed = 4
+	// maxMissedBeats is the number of heartbeats a box may miss before it is considered silent and callers no longer receive its address.
+	maxMissedBeats = 3
+	// firstWatchDelayBeats is the number of heartbeat intervals a box waits after its start before it watches the store itself. If all boxes start at
+	// once, a coordinator is available within one or two heartbeats and sends the changes.
+	firstWatchDelayBeats = 2
+	// relayLinkShare is the share of a box's link that may be used to relay large changes. The rest keeps heartbeat replies on time.
+	relayLinkShare = 0.1
+	bytesPerMbit   = 1e6 / 8
+	// minCompression is the assumed minimum compression ratio of large changes. Cell maps shrink to a seventh of their size.
+	minCompression = 4
 )
 
-// Deployment is what a platform's adapter gives a routed box.
+// Deployment contains the parts of a routed box that depend on the platform.
 type Deployment struct {
 	API     objects.API
 	Source  follow.Source
 	Engines owner.Engines
 	Wire    relay.Wire
-	// Directory answers callers that ask for addresses, Ready the platform's checks.
+	// Directory returns the handler for callers' requests for addresses. Ready returns the handler for the platform's readiness
+	// checks.
 	Directory func(*Routed) http.Handler
 	Ready     func(*Routed) http.Handler
 }
@@ -69,7 +70,7 @@
 	Deployment Deployment
 }
 
-// Routed is a running box that serves routes to endpoints found by discovery.
+// Routed is a running box that routes requests to endpoints found by discovery.
 type Routed struct {
 	cfg      RoutedConfig
 	done     chan struct{}
@@ -80,31 +81,32 @@
 	owners   *owner.Set
 	node     *member.Node
 	relay    *relay.Relay
-	// ledger holds the quotas of the customers for which this box is accountable.
-	ledger      *quota.Ledger
-	accountable *accountable
-	// keeper counts the requests at the endpoints that are this box's to count, places takes places of all.
+	// ledger counts the quota use of the customers for which this box is accountable.
+	ledger  *quota.Ledger
+	locator *locator
+	// keeper counts the requests at the endpoints that are assigned to this box. places acquires places at all endpoints.
 	keeper *places.Keeper
 	places *places.Client
-	// rates is what endpoints say of how many requests a second they take.
+	// rates holds the limits on requests per second that endpoints report.
 	rates *ratelimit.Book
-	// notices is what else they have said of themselves, teller tells other boxes.
-	notices *notice.Board
-	teller  *notice.Client
-	// quarantine knows which requests reach no endpoint.
-	quarantine *quarantine.Client
-	listeners  listeners
-	ready      net.Listener
-	directory  net.Listener
-	// leftAt is when the box was told to leave, nil before.
-	leftAt atomic.Pointer[time.Time]
-	// closed is set when the box, having nothing in flight, takes nothing more.
+	// notices holds the other notices that endpoints have sent about themselves. noticeClient forwards notices of leaving endpoints to other
+	// boxes.
+	notices      *notice.Board
+	noticeClient *notice.Client
+	// quarantine blocks requests that have crashed endpoints.
+	quarantine        *quarantine.Client
+	listeners         listeners
+	readyListener     net.Listener
+	directoryListener net.Listener
+	// leavingSince is the time at which the box began to leave, nil before that.
+	leavingSince atomic.Pointer[time.Time]
+	// closed is set when a leaving box has no requests in flight and accepts no more.
 	closed atomic.Bool
-	// told is what callers were last told of the fleet.
-	told told
+	// lastView is the last list of boxes that callers received.
+	lastView lastView
 }
 
-// NewRouted opens the listeners and builds the parts; Run runs them.
+// NewRouted opens the listeners and builds the parts. Run runs them.
 func NewRouted(cfg RoutedConfig) (*Routed, error) {
 	l := cfg.Settings.Listen
 	ls, err := listen(l)
@@ -113,28 +115,28 @@
 	}
 	b := &Routed{
 		cfg: cfg, done: make(chan struct{}), listeners: ls, metrics: metric.New(cfg.Settings.Box.Name), catalog: catalog.New(),
-		root: suture.New("box", suture.Spec{EventHook: logEvent}),
+		root: suture.New("box", suture.Spec{EventHook: logSupervisorEvent}),
 	}
-	if b.ready, err = net.Listen("tcp", l.Ready.String()); err != nil {
+	if b.readyListener, err = net.Listen("tcp", l.Ready.String()); err != nil {
 		return nil, eris.Wrap(err, "box: listen")
 	}
-	if b.directory, err = net.Listen("tcp", l.Directory.String()); err != nil {
+	if b.directoryListener, err = net.Listen("tcp", l.Directory.String()); err != nil {
 		return nil, eris.Wrap(err, "box: listen")
 	}
-	b.ledger, b.accountable = quota.NewLedger(quota.LedgerConfig{Bounds: quota.Bounds{
+	b.ledger, b.locator = quota.NewLedger(quota.LedgerConfig{Bounds: quota.Bounds{
 		Window: cfg.Settings.Customers.QuotaWindow, Excess: cfg.Settings.Customers.QuotaExcess, Tolerance: cfg.Settings.Customers.QuotaTolerance,
-	}}), newAccountable(accountableConfig{
+	}}), newLocator(locatorConfig{
 		Box: cfg.Settings.Box.Name, Beat: cfg.Settings.Timing.Beat, Catalog: b.catalog, Membership: func() member.Status { return b.node.Status() },
 	})
-	b.rates = ratelimit.NewBook(ratelimit.BookConfig{Boxes: b.boxes, Scope: b.metrics.Scope})
+	b.rates = ratelimit.NewBook(ratelimit.BookConfig{Boxes: b.boxCount, Scope: b.metrics.Scope})
 	b.buildNotices()
 	b.keeper = places.NewKeeper(mathrand.Uint64())
 	b.places = places.NewClient(places.ClientConfig{
-		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Keepers: b.accountable, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
+		HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Keepers: b.locator, Keeper: b.keeper, Rates: b.rates, Scope: b.metrics.Scope,
 	})
 	b.follower = follow.New(follow.Config{
 		Source: cfg.Deployment.Source, Catalog: b.catalog, Kinds: followedKinds(cfg.Settings.Customers), Grace: cfg.Settings.Platform.LapseGrace, Scope: b.metrics.Scope,
-		RelayFor: silentBeats * cfg.Settings.Timing.Beat, FirstWatch: firstWatchBeats * cfg.Settings.Timing.Beat, TellRate: tellShare * packed * bytesPerMbit * cfg.Settings.Box.LinkMbps,
+		RelayFor: maxMissedBeats * cfg.Settings.Timing.Beat, FirstWatch: firstWatchDelayBeats * cfg.Settings.Timing.Beat, TellRate: relayLinkShare * minCompression * bytesPerMbit * cfg.Settings.Box.LinkMbps,
 	})
 	b.quarantine = newQuarantine(cfg.Settings, b.catalog, b.metrics.Scope)
 	peers := peer.NewClient(peer.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}})
@@ -142,40 +144,42 @@
 	scheduler := b.buildOwners(peers)
 	b.buildNode(peers)
 	b.buildRelay(grants)
-	b.serve(grants, scheduler)
+	b.addParts(grants, scheduler)
 	return b, nil
 }
 
-// buildNotices builds what is known of endpoints by their own word. The fleet's view has it at once; owners learn it, and other boxes are told.
+// buildNotices builds the board of the notices that endpoints send about themselves. A notice that an endpoint is leaving takes effect in the topology
+// immediately, is recorded by the owner of the endpoint and is forwarded to the other boxes.
 func (b *Routed) buildNotices() {
-	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, heard bool) {
+	b.notices = notice.NewBoard(notice.BoardConfig{Scope: b.metrics.Scope, Leaves: func(e notice.Endpoint, firsthand bool) {
 		b.catalog.Refresh()
 		if runner, ok := b.owners.Get(e.Name); ok {
 			runner.HearLeft()
 		}
-		if heard {
-			b.teller.Leaves(e)
+		if firsthand {
+			b.noticeClient.Leaves(e)
 		}
 	}})
 	b.catalog.Overlay(func(endpoint string, started int64) bool {
 		return b.notices.Any() && b.notices.Leaves(clock.Now(), notice.Endpoint{Name: endpoint, Started: started})
 	})
-	b.teller = newTeller(tellerConfig{Board: b.notices, Catalog: b.catalog, Box: b.cfg.Settings.Box.Name, Scope: b.metrics.Scope})
+	b.noticeClient = newNoticeClient(noticeClientConfig{Board: b.notices, Catalog: b.catalog, Box: b.cfg.Settings.Box.Name, Scope: b.metrics.Scope})
 }
 
-// buildOwners builds the engines of this box. The weight store's budget limits base models; one box of the region schedules it.
+// buildOwners builds the owners of this box's engines. The weight store's budget limits the loads of base models and, depending on the settings, of
+// adapters. One box of the region schedules this budget.
 func (b *Routed) buildOwners(peers *peer.Client) *loads.Local {
 	scheduler := loads.NewLocal(loads.LocalConfig{Budget: b.loadBudget})
 	fallback := loads.NewLocal(loads.LocalConfig{Budget: func() loads.Budget {
 		budget := b.loadBudget()
-		return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / float64(b.boxes()), AtOnce: 1}
+		return loads.Budget{PerSecond: loads.FallbackShare * budget.PerSecond / float64(b.boxCount()), AtOnce: 1}
 	}})
 	b.root.Add(scheduler)
 	b.root.Add(fallback)
 	budgeted := loads.NewShared(loads.SharedConfig{
 		Own: scheduler, Fallback: fallback, Remote: peers, Scope: b.metrics.Scope,
 		Scheduler: func() (string, bool) {
-			m := b.scheduler()
+			m := b.schedulerMember()
 			return m.Peer.String(), m.Box == b.cfg.Settings.Box.Name
 		},
 	})
@@ -184,7 +188,7 @@
 		adapters = budgeted
 	}
 	b.owners = owner.NewSet(owner.SetConfig{
-		Supervisor: b.root, Loads: adapters, BaseLoads: budgeted, Scope: b.metrics.Scope, Client: quarantinedOrders{b.cfg.Deployment.Engines, b.quarantine},
+		Supervisor: b.root, Loads: adapters, BaseLoads: budgeted, Scope: b.metrics.Scope, Client: quarantiningEngines{b.cfg.Deployment.Engines, b.quarantine},
 		PrefillRate: b.cfg.Settings.Routes.PrefillRate, Policy: b.cfg.Settings.Policy.Chosen(),
 		Authority: func(name string, now time.Time) (uint64, bool) { return b.node.Authority(name, now) },
 		Lookup:    b.lookupEngine, Rates: b.rates, Notices: b.notices,
@@ -193,7 +197,7 @@
 	return scheduler
 }
 
-// loadBudget returns what the routing configuration allows, else what the settings say.
+// loadBudget returns the budget from the settings, reduced to the lowest limit in the routing configuration.
 func (b *Routed) loadBudget() loads.Budget {
 	budget := loads.Budget{PerSecond: b.cfg.Settings.Loads.PerSecond, AtOnce: b.cfg.Settings.Loads.AtOnce}
 	t := b.catalog.Topology().Routes
@@ -208,12 +212,12 @@
 	return budget
 }
 
-func (b *Routed) scheduler() coordinator.Member {
+func (b *Routed) schedulerMember() coordinator.Member {
 	return b.catalog.Topology().Schedulers[b.cfg.Settings.Box.Region]
 }
 
-// boxes returns how many boxes this one knows of, itself included.
-func (b *Routed) boxes() int { return max(1, len(b.catalog.Topology().Boxes)) }
+// boxCount returns the number of boxes that this box knows, including itself.
+func (b *Routed) boxCount() int { return max(1, len(b.catalog.Topology().Boxes)) }
 
 func (b *Routed) lookupEngine(name string) (owner.Declared, bool) {
 	e, ok := b.catalog.Topology().Engines[name]
@@ -230,10 +234,10 @@
 		Cell: s.Box.Cell, Region: s.Box.Region, API: b.cfg.Deployment.API, Peers: peers, Catalog: b.catalog, Holder: b.owners, Scope: b.metrics.Scope, NewToken: rand.Text, Spread: b.follower,
 		Quarantine: b.quarantine,
 		Self: coordinator.Member{
-			Box: s.Box.Name, Zone: s.Box.Zone, Incarnation: rand.Text(), Caller: addressOf(b.listeners.caller), Peer: b.listeners.advertised(s.Listen),
+			Box: s.Box.Name, Zone: s.Box.Zone, Incarnation: rand.Text(), Caller: listenerAddress(b.listeners.caller), Peer: b.listeners.advertisedAddress(s.Listen),
 		},
 		Timing: member.Timing{
-			Beat: t.Beat, LeaseTTL: t.LeaseTTL, Term: t.Term, Drain: t.Drain, SilentAfter: silentBeats * t.Beat, OrderGap: t.OrderGap + orderMargin, Reclaim: t.Reclaim,
+			Beat: t.Beat, LeaseTTL: t.LeaseTTL, Term: t.Term, Drain: t.Drain, SilentAfter: maxMissedBeats * t.Beat, OrderGap: t.OrderGap + orderMargin, Reclaim: t.Reclaim,
 		},
 	})
 }
@@ -243,29 +247,29 @@
 	b.relay = relay.New(relay.Config{
 		Box: s.Box.Name, Zone: s.Box.Zone, Catalog: b.catalog, Owners: b.owners, Grants: grants, Wire: b.cfg.Deployment.Wire, Scope: b.metrics.Scope,
 		Endpoints: &http.Client{Transport: httpx.NewTransport(connsPerEngine), CheckRedirect: noRedirect},
-		Budget:    relay.BudgetConfig{PerRequest: s.Routes.RetryRatio, Allowance: s.Routes.RetryAllowance, Boxes: b.boxes},
+		Budget:    relay.BudgetConfig{PerRequest: s.Routes.RetryRatio, Allowance: s.Routes.RetryAllowance, Boxes: b.boxCount},
 		Policy:    s.Policy.Chosen(),
-		Quotas:    quota.NewClient(quota.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Accountable: b.accountable, Ledger: b.ledger, Scope: b.metrics.Scope}),
+		Quotas:    quota.NewClient(quota.ClientConfig{HTTP: &http.Client{Transport: httpx.NewTransport(connsPerPeer)}, Accountable: b.locator, Ledger: b.ledger, Scope: b.metrics.Scope}),
 		Places:    b.places, Quarantine: b.quarantine, Rates: b.rates, Notices: b.notices,
 		Ages: relay.AgesConfig{
 			ConfirmedAt: func() time.Time { return b.follower.ConfirmedAt(string(resource.KindRouting)) },
 			Keys:        s.Customers.RevokedWithin, Unknown: s.Customers.InForceWithin,
 		},
-		StoreAge: b.follower.StoreAge, Leaving: b.leavingFor, Closed: b.closed.Load, LastStream: s.Timing.LastStream, LastRequest: max(0, s.Timing.Leave-lastRefusal),
+		StoreAge: b.follower.StoreAge, Leaving: b.leavingDuration, Closed: b.closed.Load, LastStream: s.Timing.LastStream, LastRequest: max(0, s.Timing.Leave-refusalPeriod),
 	})
 }
 
-func (b *Routed) serve(grants *grant.Client, scheduler *loads.Local) {
+func (b *Routed) addParts(grants *grant.Client, scheduler *loads.Local) {
 	peerMux := http.NewServeMux()
 	peer.NewHandler(peer.HandlerConfig{
 		Catalog: b.catalog, Beat: b.node.Receive, Batch: b.node.HandleBatch, Permits: scheduler, NewID: rand.Text,
-		Schedules: func() bool { return b.scheduler().Box == b.cfg.Settings.Box.Name },
+		Schedules: func() bool { return b.schedulerMember().Box == b.cfg.Settings.Box.Name },
 	}).Register(peerMux)
 	grant.NewServer(grant.ServerConfig{Owners: b.owners, Rates: b.rates}).Register(peerMux)
 	notice.NewServer(notice.ServerConfig{Board: b.notices}).Register(peerMux)
 	quarantine.NewServer(quarantine.ServerConfig{Client: b.quarantine}).Register(peerMux)
 	places.NewServer(places.ServerConfig{Keeper: b.keeper, Rates: b.rates}).Register(peerMux)
-	quota.NewServer(quota.ServerConfig{Ledger: b.ledger, Accountable: b.accountable, Customer: b.customer}).Register(peerMux)
+	quota.NewServer(quota.ServerConfig{Ledger: b.ledger, Accountable: b.locator, Customer: b.customer}).Register(peerMux)
 	op := operator.New(operator.Config{
 		Box: b.cfg.Settings.Box.Name, API: b.cfg.Deployment.API, Catalog: b.catalog, Metrics: b.metrics.Handler, Ready: b.Ready,
 		Membership: b.node.Status, Engines: b.owners.Status, InFlight: b.InFlight, Scope: b.metrics.Scope, Record: record.New(),
@@ -274,39 +278,39 @@
 	b.root.Add(server{b.listeners.caller, b.relay})
 	b.root.Add(server{b.listeners.peer, peerMux})
 	b.root.Add(server{b.listeners.operator, op.Handler()})
-	b.root.Add(server{b.ready, b.cfg.Deployment.Ready(b)})
-	b.root.Add(server{b.directory, b.cfg.Deployment.Directory(b)})
+	b.root.Add(server{b.readyListener, b.cfg.Deployment.Ready(b)})
+	b.root.Add(server{b.directoryListener, b.cfg.Deployment.Directory(b)})
 	b.root.Add(b.follower)
 	b.root.Add(grants)
 	b.root.Add(b.places)
-	b.root.Add(b.teller)
+	b.root.Add(b.noticeClient)
 	b.root.Add(b.quarantine)
-	b.root.Add(afterReady{b.follower.Ready(), b.node})
+	b.root.Add(delayedNode{b.follower.Ready(), b.node})
 }
 
-// CallerAddress returns where callers connect.
-func (b *Routed) CallerAddress() netip.AddrPort { return addressOf(b.listeners.caller) }
+// CallerAddress returns the address to which callers connect.
+func (b *Routed) CallerAddress() netip.AddrPort { return listenerAddress(b.listeners.caller) }
 
-// DirectoryAddress returns where callers ask for addresses.
-func (b *Routed) DirectoryAddress() netip.AddrPort { return addressOf(b.directory) }
+// DirectoryAddress returns the address at which callers request the addresses of boxes.
+func (b *Routed) DirectoryAddress() netip.AddrPort { return listenerAddress(b.directoryListener) }
 
-// Topology returns the fleet as this box knows it.
+// Topology returns this box's current view of the fleet.
 func (b *Routed) Topology() *catalog.Topology { return b.catalog.Topology() }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (b *Routed) Done() <-chan struct{} { return b.done }
 
-// InFlight returns the requests in flight through this box.
+// InFlight returns the number of requests in flight through this box.
 func (b *Routed) InFlight() int { return b.relay.InFlight() }
 
-// Ready reports whether this box takes requests: it knows routes and endpoints, and which of these leave, and is not leaving.
+// Ready reports whether this box accepts requests: it knows the routes, the endpoints and which endpoints are leaving, and is not leaving itself.
 func (b *Routed) Ready() bool {
 	t := b.catalog.Topology()
-	return b.follower.IsReady() && t.Routes != nil && len(t.Endpoints) > 0 && b.leavingFor() == 0 && b.teller.CaughtUp()
+	return b.follower.IsReady() && t.Routes != nil && len(t.Endpoints) > 0 && b.leavingDuration() == 0 && b.noticeClient.CaughtUp()
 }
 
 // Run serves until ctx ends, then leaves.
 func (b *Routed) Run(ctx context.Context) error {
 	defer close(b.done)
-	return runUntilLeft(ctx, b.root, b.metrics, b.leave)
+	return runAndLeave(ctx, b.root, b.metrics, b.leave)
 }
--- a/internal/box/tool_test.go
+++ b/internal/box/tool_test.go
@@ -12,20 +12,20 @@
 	"github.com/bellgap/bellgap/internal/fakeengine"
 )
 
-const declared = `
+const priorityResource = `
 [[resource]]
 kind = "Priority"
 name = "overnight"
 spec = { urgency = 0, max_wait = "10m" }
 `
 
-func TestTool(t *testing.T) {
+func TestToolCommands(t *testing.T) {
 	c := qt.New(t)
 	f := startFleet(c, fleetConfig{boxes: 1, engines: []fakeengine.Config{smallEngine()}})
 	dir := c.TempDir()
 	good, bad := filepath.Join(dir, "good.toml"), filepath.Join(dir, "bad.toml")
-	c.Assert(os.WriteFile(good, []byte(declared), 0o600), qt.IsNil)
-	c.Assert(os.WriteFile(bad, []byte(declared+"colour = 1\n"), 0o600), qt.IsNil)
+	c.Assert(os.WriteFile(good, []byte(priorityResource), 0o600), qt.IsNil)
+	c.Assert(os.WriteFile(bad, []byte(priorityResource+"colour = 1\n"), 0o600), qt.IsNil)
 	for _, tt := range []struct {
 		name string
 		args []string
--- a/internal/box/force_test.go
+++ b/internal/box/update_delay_test.go
@@ -20,37 +20,37 @@
 	"github.com/bellgap/bellgap/internal/settings"
 )
 
-// What the users ask of a configuration: in force this long after it was acknowledged, at boxes that nothing has befallen for calmFor.
+// The users require that a configuration is in effect maxUpdateDelay after its acknowledgement, on boxes without store faults for calmPeriod.
 const (
-	forceWithin = 2 * time.Second
-	calmFor     = 3 * time.Second
-	testBeat    = 400 * time.Millisecond
+	maxUpdateDelay = 2 * time.Second
+	calmPeriod     = 3 * time.Second
+	testBeat       = 400 * time.Millisecond
 )
 
-// fault is what befalls the store's calls of one box.
+// fault is a fault of the calls to the store.
 type fault int
 
 const (
 	faultNone fault = iota
-	// faultBusy refuses calls, faultSlow delays their answers, faultLost swallows some of them, faultDeaf leaves watches that wait
-	// through it without the changes that come later.
+	// faultBusy refuses calls, faultSlow delays responses, and faultLostCalls leaves some calls without a response. A watch that is
+	// open during faultMissedChanges returns no changes, even those made after the fault.
 	faultBusy
 	faultSlow
-	faultLost
-	faultDeaf
-	faults
+	faultLostCalls
+	faultMissedChanges
+	faultCount
 )
 
-// faultyStore holds one configuration, numbered by its versions, and entries that change all the time.
+// faultyStore is a store with one configuration, whose version is its revision, and one endpoint that changes frequently.
 type faultyStore struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	revision objects.Position
-	routing  int64
-	entries  int64
-	fault    fault
-	calmAt   time.Time
-	changed  chan struct{}
+	mu               sync.Mutex
+	rng              *rand.Rand
+	revision         objects.Position
+	routingRevision  int64
+	endpointRevision int64
+	fault            fault
+	faultChangedAt   time.Time
+	changed          chan struct{}
 }
 
 func (s *faultyStore) change(routing bool) {
@@ -58,22 +58,22 @@
 	defer s.mu.Unlock()
 	s.revision++
 	if routing {
-		s.routing = int64(s.revision)
+		s.routingRevision = int64(s.revision)
 	} else {
-		s.entries = int64(s.revision)
+		s.endpointRevision = int64(s.revision)
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *faultyStore) befall(f fault) {
+func (s *faultyStore) setFault(f fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.fault, s.calmAt = f, time.Now()
+	s.fault, s.faultChangedAt = f, time.Now()
 }
 
-// meet lets a call meet the fault of the moment.
-func (s *faultyStore) meet(ctx context.Context) error {
+// applyFault applies the current fault to a call.
+func (s *faultyStore) applyFault(ctx context.Context) error {
 	s.mu.Lock()
 	f, lost := s.fault, s.rng.IntN(3) == 0
 	s.mu.Unlock()
@@ -82,21 +82,21 @@
 		return objects.ErrUnavailable
 	case f == faultSlow:
 		time.Sleep(300 * time.Millisecond)
-	case f == faultLost && lost:
+	case f == faultLostCalls && lost:
 		<-ctx.Done()
 		return objects.ErrUnavailable
 	}
 	return nil
 }
 
-// newer returns a kind's object if it has changed since a revision.
-func (s *faultyStore) newer(kind string, from objects.Position) (objects.Changes, bool) {
+// newerObject returns the object of a kind, and whether it has changed since a revision.
+func (s *faultyStore) newerObject(kind string, from objects.Position) (objects.Changes, bool) {
 	ch := objects.Changes{Revision: s.revision}
-	at := s.entries
+	at := s.endpointRevision
 	var spec resource.Spec = &resource.Endpoint{Service: "s", Slots: 1}
 	switch kind {
 	case string(resource.KindRouting):
-		at, spec = s.routing, &resource.Routing{Version: s.routing}
+		at, spec = s.routingRevision, &resource.Routing{Version: s.routingRevision}
 	case string(resource.KindEndpoint):
 	default:
 		return ch, false
@@ -113,12 +113,12 @@
 func (s *faultyStore) List(ctx context.Context, kinds []string, _ string) (objects.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
 	defer cancel()
-	if err := s.meet(ctx); err != nil {
+	if err := s.applyFault(ctx); err != nil {
 		return objects.Changes{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ch, _ := s.newer(kinds[0], 0)
+	ch, _ := s.newerObject(kinds[0], 0)
 	return ch, nil
 }
 
@@ -126,18 +126,18 @@
 func (s *faultyStore) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+500*time.Millisecond)
 	defer cancel()
-	if err := s.meet(ctx); err != nil {
+	if err := s.applyFault(ctx); err != nil {
 		return objects.Changes{}, err
 	}
 	timeout := time.After(wait)
-	deaf := false
+	missed := false
 	for {
 		s.mu.Lock()
 		changed := s.changed
-		ch, isNewer := s.newer(kinds[0], from)
-		deaf = deaf || s.fault == faultDeaf
+		ch, isNewer := s.newerObject(kinds[0], from)
+		missed = missed || s.fault == faultMissedChanges
 		s.mu.Unlock()
-		if isNewer && !deaf {
+		if isNewer && !missed {
 			return ch, nil
 		}
 		select {
@@ -150,18 +150,18 @@
 	}
 }
 
-// TestConfigurationIsInForceInTime draws faults of the store for two boxes, one of which has its changes with heartbeats of the
-// other, and changes the configuration all the while.
-func TestConfigurationIsInForceInTime(t *testing.T) {
+// TestConfigurationIsAppliedInTime injects random store faults into two boxes while the configuration changes. The second box also
+// receives changes from the first box with heartbeats.
+func TestConfigurationIsAppliedInTime(t *testing.T) {
 	for seed := range uint64(40) {
-		synctest.Test(t, func(t *testing.T) { checkForce(t, seed) })
+		synctest.Test(t, func(t *testing.T) { checkUpdateDelay(t, seed) })
 	}
 }
 
-func checkForce(t *testing.T, seed uint64) {
+func checkUpdateDelay(t *testing.T, seed uint64) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := &faultyStore{rng: rand.New(rand.NewPCG(seed, 2)), changed: make(chan struct{}), calmAt: time.Now()}
+	s := &faultyStore{rng: rand.New(rand.NewPCG(seed, 2)), changed: make(chan struct{}), faultChangedAt: time.Now()}
 	s.change(true)
 	var boxes []*follow.Follower
 	var catalogs []*catalog.Catalog
@@ -173,7 +173,7 @@
 	}()
 	for range 2 {
 		cat := catalog.New()
-		f := follow.New(follow.Config{Source: s, Catalog: cat, Scope: tally.NoopScope, Kinds: followedKinds(settings.Customers{}), Grace: time.Second, RelayFor: silentBeats * testBeat})
+		f := follow.New(follow.Config{Source: s, Catalog: cat, Scope: tally.NoopScope, Kinds: followedKinds(settings.Customers{}), Grace: time.Second, RelayFor: maxMissedBeats * testBeat})
 		boxes, catalogs = append(boxes, f), append(catalogs, cat)
 		group.Go(func() error { _ = f.Serve(ctx); return nil })
 	}
@@ -197,34 +197,34 @@
 		at     time.Time
 	}
 	var acked []version
-	next := time.Now()
+	nextFaultAt := time.Now()
 	for range 1200 {
 		time.Sleep(50 * time.Millisecond)
 		now := time.Now()
 		if rng.IntN(60) == 0 {
 			s.change(true)
-			acked = append(acked, version{s.routing, now})
+			acked = append(acked, version{s.routingRevision, now})
 		}
-		if now.After(next) {
-			f := fault(rng.IntN(int(faults)))
-			s.befall(f)
-			next = now.Add(time.Duration(1+rng.IntN(8)) * time.Second)
+		if now.After(nextFaultAt) {
+			f := fault(rng.IntN(int(faultCount)))
+			s.setFault(f)
+			nextFaultAt = now.Add(time.Duration(1+rng.IntN(8)) * time.Second)
 			if f != faultNone {
 				time.Sleep(time.Duration(1+rng.IntN(4)) * time.Second)
-				s.befall(faultNone)
+				s.setFault(faultNone)
 			}
 			continue
 		}
-		if now.Sub(s.calmAt) < calmFor {
+		if now.Sub(s.faultChangedAt) < calmPeriod {
 			continue
 		}
 		for _, v := range acked {
-			if now.Sub(v.at) < forceWithin {
+			if now.Sub(v.at) < maxUpdateDelay {
 				break
 			}
 			for i, cat := range catalogs {
-				if have := cat.Topology().Routes.Version(); have < v.number {
-					c.Fatalf("seed %d: box %d is at version %d, %s after %d was acknowledged and %s after the last fault", seed, i, have, now.Sub(v.at), v.number, now.Sub(s.calmAt))
+				if held := cat.Topology().Routes.Version(); held < v.number {
+					c.Fatalf("seed %d: box %d has version %d, %s after version %d was acknowledged and %s after the last fault", seed, i, held, now.Sub(v.at), v.number, now.Sub(s.faultChangedAt))
 				}
 			}
 		}
--- a/internal/box/zipf_test.go
+++ b/internal/box/zipf_test.go
@@ -14,8 +14,8 @@
 	"github.com/bellgap/bellgap/internal/invariant"
 )
 
-// TestManyAdapters sends skewed requests for 5,000 declared adapters through three boxes and two engines.
-func TestManyAdapters(t *testing.T) {
+// TestSkewedRequestsForManyAdapters sends requests for 5,000 adapters, with a Zipf distribution, through three boxes and two engines.
+func TestSkewedRequestsForManyAdapters(t *testing.T) {
 	const adapters, workers, requests = 5000, 6, 100
 	c := qt.New(t)
 	fast := fakeengine.Config{Slots: 8, Batch: 16, ChecksOrders: true}
@@ -24,7 +24,7 @@
 	for i := range 3 {
 		f.addBox(fmt.Sprintf("box-%d", i+1))
 	}
-	f.settle(3, 2)
+	f.waitUntilSettled(3, 2)
 	var group errgroup.Group
 	for w := range workers {
 		group.Go(func() error {
@@ -32,7 +32,7 @@
 			zipf := rand.NewZipf(r, 1.1, 1, adapters-1)
 			for i := range requests {
 				model := fmt.Sprintf("adapter-%05d@1", zipf.Uint64())
-				a := f.ask(f.boxes[i%3], "/v1/completions", completion(model, 3, i%2 == 0))
+				a := f.post(f.boxes[i%3], "/v1/completions", completionBody(model, 3, i%2 == 0))
 				if a.status != http.StatusOK || !strings.Contains(a.body, model+":2 ") || strings.Count(a.body, `"model":`) != strings.Count(a.body, `"model":"`+model+`"`) {
 					return fmt.Errorf("%s: status %d: %s", model, a.status, a.body)
 				}
@@ -45,7 +45,7 @@
 	for _, e := range f.engines {
 		h := e.History()
 		loads += h.Loads
-		c.Check(invariant.NeverUnloadedInUse(h.Violations), qt.IsNil)
+		c.Check(invariant.CheckUnloads(h.Violations), qt.IsNil)
 	}
 	t.Logf("%d requests, %d loads", workers*requests, loads)
 }
--- a/internal/invariant/ownership.go
+++ b/internal/invariant/ownership.go
@@ -1,4 +1,4 @@
-// Package invariant holds the checks of what must always hold, each a function over a recorded history.
+// Package invariant checks recorded histories of tests for violations of the system's invariants.
 package invariant
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Authority records that a box could give an engine orders at some instant.
+// Authority records that a box had the right to give orders to an engine at an instant.
 type Authority struct {
 	At     time.Time
 	Engine string
@@ -14,8 +14,8 @@
 	Epoch  uint64
 }
 
-// OneAuthority returns an error if two boxes could give one engine orders at the same instant.
-// The history is in the order of time; one instant's records stand together.
+// OneAuthority returns an error if two boxes had the right to give orders to the same engine at the same instant.
+// The history must be sorted by time.
 func OneAuthority(history []Authority) error {
 	type instant struct {
 		at     time.Time
@@ -25,20 +25,20 @@
 	for _, a := range history {
 		k := instant{a.At, a.Engine}
 		if b, ok := holder[k]; ok && b.Box != a.Box {
-			return fmt.Errorf("invariant: at %s both %s (epoch %d) and %s (epoch %d) may give %s orders", a.At, b.Box, b.Epoch, a.Box, a.Epoch, a.Engine)
+			return fmt.Errorf("invariant: at %s both %s (epoch %d) and %s (epoch %d) had authority over engine %s", a.At, b.Box, b.Epoch, a.Box, a.Epoch, a.Engine)
 		}
 		holder[k] = a
 	}
 	return nil
 }
 
-// EpochsGrow returns an error if an engine's epoch ever falls, or two boxes act under one epoch.
+// EpochsGrow returns an error if an engine's epoch decreases, or if two boxes have authority in the same epoch of an engine.
 func EpochsGrow(history []Authority) error {
 	last := map[string]Authority{}
 	for _, a := range history {
 		b, ok := last[a.Engine]
 		if ok && (a.Epoch < b.Epoch || (a.Epoch == b.Epoch && a.Box != b.Box)) {
-			return fmt.Errorf("invariant: %s had epoch %d by %s at %s, then %d by %s at %s", a.Engine, b.Epoch, b.Box, b.At, a.Epoch, a.Box, a.At)
+			return fmt.Errorf("invariant: engine %s had epoch %d of box %s at %s, then epoch %d of box %s at %s", a.Engine, b.Epoch, b.Box, b.At, a.Epoch, a.Box, a.At)
 		}
 		last[a.Engine] = a
 	}
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -2,56 +2,58 @@
 
 import "fmt"
 
-// Outcome is what a caller was told about one request.
+// Outcome is the result of a request, as the caller received it.
 type Outcome struct {
-	// Request names the request; back ends count their runs by it.
+	// Request is the ID of the request, by which back ends count its runs.
 	Request string
-	// Answer is the whole answer if the request was served.
+	// Served is set if the caller received the complete response.
 	Served bool
+	// Answer is the response body, as far as it was received.
 	Answer string
-	// Ran is "no", "yes" or "unknown", as the caller was told; empty if the connection broke before any word.
+	// Ran is "no", "yes" or "unknown", as reported to the caller. It is empty if the connection broke before the response.
 	Ran string
-	// Model is the adapter version that was asked for.
+	// Model is the requested adapter version.
 	Model string
 }
 
-// AtMostOnce returns an error if a request that may not be repeated ran more than once.
+// AtMostOnce returns an error if a request ran more than once. All outcomes must be of requests that may not be repeated.
 func AtMostOnce(outcomes []Outcome, runs map[string]int) error {
 	for _, o := range outcomes {
 		if runs[o.Request] > 1 {
-			return fmt.Errorf("invariant: %s ran %d times", o.Request, runs[o.Request])
+			return fmt.Errorf("invariant: request %s ran %d times", o.Request, runs[o.Request])
 		}
 	}
 	return nil
 }
 
-// NotRunIsTrue returns an error if a request that was said not to have run did run, or a served one did not.
+// NotRunIsTrue returns an error if a request that was reported as not run did run, or if a served request did not run.
 func NotRunIsTrue(outcomes []Outcome, runs map[string]int) error {
 	for _, o := range outcomes {
 		if o.Ran == "no" && runs[o.Request] > 0 {
-			return fmt.Errorf("invariant: %s was said not to have run, and ran %d times", o.Request, runs[o.Request])
+			return fmt.Errorf("invariant: request %s was reported as not run but ran %d times", o.Request, runs[o.Request])
 		}
 		if o.Served && runs[o.Request] == 0 {
-			return fmt.Errorf("invariant: %s was served, and never ran", o.Request)
+			return fmt.Errorf("invariant: request %s was served but never ran", o.Request)
 		}
 	}
 	return nil
 }
 
-// OwnAnswers returns an error if a served request got anything but the whole answer to itself; whole tells that.
-func OwnAnswers(outcomes []Outcome, whole func(o Outcome) bool) error {
+// CheckAnswers returns an error if a served request got an incomplete response or the response to another request.
+// isComplete reports whether a response is complete and belongs to its request.
+func CheckAnswers(outcomes []Outcome, isComplete func(o Outcome) bool) error {
 	for _, o := range outcomes {
-		if o.Served && !whole(o) {
-			return fmt.Errorf("invariant: %s for %s got %q", o.Request, o.Model, o.Answer)
+		if o.Served && !isComplete(o) {
+			return fmt.Errorf("invariant: request %s for %s got the wrong response %q", o.Request, o.Model, o.Answer)
 		}
 	}
 	return nil
 }
 
-// NeverUnloadedInUse returns an error if an engine unloaded an adapter that was serving.
-func NeverUnloadedInUse(violations []string) error {
+// CheckUnloads returns an error if an engine has recorded a violation: the unload of an adapter in use.
+func CheckUnloads(violations []string) error {
 	if len(violations) > 0 {
-		return fmt.Errorf("invariant: unloaded while serving: %v", violations)
+		return fmt.Errorf("invariant: adapters unloaded while in use: %v", violations)
 	}
 	return nil
 }
