--- a/cmd/bellgap/main.go
+++ b/cmd/bellgap/main.go
@@ -1,4 +1,4 @@
-// Command bellgap is the operators' tool.
+// Command bellgap is the command-line tool for operators.
 package main
 
 import (
--- a/cmd/bellgapbench/main.go
+++ b/cmd/bellgapbench/main.go
@@ -1,4 +1,4 @@
-// Command bellgapbench measures the decisions in virtual time.
+// Command bellgapbench measures the decisions of bellgap against simpler policies in virtual time.
 package main
 
 import (
--- a/cmd/bellgapd/main.go
+++ b/cmd/bellgapd/main.go
@@ -1,4 +1,4 @@
-// Command bellgapd is the daemon that runs on every entry box.
+// Command bellgapd is the daemon that runs on every box that receives requests from callers.
 package main
 
 import (
--- a/cmd/bellgapfake/main.go
+++ b/cmd/bellgapfake/main.go
@@ -1,4 +1,4 @@
-// Command bellgapfake runs stand-ins for the systems around bellgap.
+// Command bellgapfake runs fake versions of the systems that bellgap works with, for tests.
 package main
 
 import (
--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -1,4 +1,5 @@
-// Package fakeengine stands in for a model engine: completions with server-sent events, few adapter slots, fenced orders, lagging reports.
+// Package fakeengine implements a fake model engine for tests. It serves completions, also as server-sent events, has a limited
+// number of adapter slots, checks the epochs of orders, and can delay its reports.
 package fakeengine
 
 import (
@@ -13,77 +14,84 @@
 	"github.com/bellgap/bellgap/internal/engine"
 )
 
-// Faults are switched on by tests and by POST /faults.
+// Faults are the faults that the engine simulates. Tests set them directly or by POST /faults.
 type Faults struct {
-	// FailLoads fails this many loads.
+	// FailLoads is the number of upcoming loads that fail.
 	FailLoads int `json:"fail_loads"`
-	// LoseOrderAnswers lets this many orders take effect and breaks the connection.
+	// LoseOrderAnswers is the number of upcoming orders that are executed, but whose connection is closed before the response.
 	LoseOrderAnswers int `json:"lose_order_answers"`
-	// LoseAnswers runs this many requests and breaks the connection before the answer.
+	// LoseAnswers is the number of upcoming requests that are executed, but whose connection is closed before the response.
 	LoseAnswers int `json:"lose_answers"`
-	// CutStreams breaks this many streams after their first token.
+	// CutStreams is the number of upcoming streams whose connection is closed after the first token.
 	CutStreams int `json:"cut_streams"`
-	// WrongAnswers answers this many requests in the name of another adapter.
+	// WrongAnswers is the number of upcoming requests whose responses name another adapter.
 	WrongAnswers int `json:"wrong_answers"`
-	// Rate, if set, is named in all answers as the requests a second that the engine takes from all boxes.
+	// Rate, if set, is sent with all responses as the number of requests per second that the engine accepts from all boxes
+	// together.
 	Rate string `json:"rate"`
-	// Leaving says in all answers that the engine leaves, until it starts again.
+	// Leaving adds the header to all responses that announces that the engine is leaving. A restart resets it.
 	Leaving bool `json:"leaving"`
-	// Rest, if set, turns all requests away and names as many seconds of rest.
+	// Rest, if set, makes the engine refuse all requests and is sent as the Retry-After header, in seconds.
 	Rest string `json:"rest"`
 }
 
 // Config configures an Engine.
 type Config struct {
 	Name string
-	// Slots and Batch are the limits of the engine.
+	// Slots is the maximum number of loaded adapters, Batch the maximum number of requests that run at the same time.
 	Slots int
 	Batch int
-	// Step is the time of one token.
+	// Step is the time to generate one token.
 	Step time.Duration
-	// ChecksOrders makes the engine refuse old epochs.
+	// ChecksOrders makes the engine refuse orders with an epoch older than the newest one it has received.
 	ChecksOrders bool
-	// Fetch gets the weights; nil takes no time.
+	// Fetch downloads the weights of an adapter. If it is nil, loads take no time.
 	Fetch func(ctx context.Context, weights string) error
-	// ReportLag is the age of reports.
+	// ReportLag is the minimum age of the reports that the engine returns.
 	ReportLag time.Duration
 }
 
-// History is what tests check invariants on.
+// History records the engine's actions so that tests can check invariants.
 type History struct {
-	// Runs counts how often each request id was run, Users how often each user's request was.
+	// Runs counts the executions by request ID, Users the executions by the user named in the request.
 	Runs  map[string]int `json:"runs"`
 	Users map[string]int `json:"users"`
-	// Violations lists adapters that were unloaded in use.
+	// Violations lists the adapters that were unloaded while requests were using them.
 	Violations []string `json:"violations"`
 	Loads      int      `json:"loads"`
 	Unloads    int      `json:"unloads"`
 }
 
-type refused struct {
-	kind string
-	text string
+// refusalError is a refused request or order; kind is one of the engine.Refusal types.
+type refusalError struct {
+	kind    string
+	message string
 }
 
-func (r refused) Error() string { return r.kind + ": " + r.text }
+func (r refusalError) Error() string { return r.kind + ": " + r.message }
 
-// errLost makes the handler break the connection.
-var errLost = errors.New("fakeengine: answer lost")
+// errAnswerLost makes the handler close the connection without a response.
+var errAnswerLost = errors.New("fakeengine: answer lost")
 
-// Engine is the stand-in.
+// Engine is the fake engine.
 type Engine struct {
 	cfg         Config
 	mu          sync.Mutex
 	incarnation string
 	epoch       uint64
-	loaded      map[string]int
-	loading     map[string]bool
-	batch       chan struct{}
-	faults      Faults
-	history     History
-	steps       int64
-	filled      int64
-	reports     []engine.Report
+	// requestsByModel has an entry for each loaded model: the number of its unfinished requests.
+	requestsByModel map[string]int
+	// loading has the models that are being loaded.
+	loading map[string]bool
+	// batchSeats holds one element for each running request.
+	batchSeats chan struct{}
+	faults     Faults
+	history    History
+	// steps counts generation steps, filled the sequences in them. Both are multiplied by 1000.
+	steps  int64
+	filled int64
+	// recentReports has the reports from which Report selects one that is old enough. The oldest report is first.
+	recentReports []engine.Report
 }
 
 // New returns an empty Engine.
@@ -93,13 +101,13 @@
 	return e
 }
 
-// Restart empties the engine.
+// Restart simulates a restart: the engine has no loaded adapters, a new incarnation and no epoch. The history remains.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.incarnation = rand.Text()
-	e.loaded, e.loading = map[string]int{}, map[string]bool{}
-	e.batch = make(chan struct{}, e.cfg.Batch)
+	e.requestsByModel, e.loading = map[string]int{}, map[string]bool{}
+	e.batchSeats = make(chan struct{}, e.cfg.Batch)
 	e.epoch = 0
 	e.faults.Leaving = false
 }
@@ -111,7 +119,7 @@
 	e.faults = f
 }
 
-// History returns a copy of what happened.
+// History returns a copy of the history.
 func (e *Engine) History() History {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,128 +129,129 @@
 	return h
 }
 
-// Order carries out an order.
-func (e *Engine) Order(ctx context.Context, o engine.Order) error {
-	if err := e.admitOrder(o); err != nil {
+// Order executes an order to load or unload an adapter.
+func (e *Engine) Order(ctx context.Context, order engine.Order) error {
+	if err := e.checkEpoch(order); err != nil {
 		return err
 	}
 	var err error
-	switch o.Action {
+	switch order.Action {
 	case engine.ActionLoad:
-		err = e.load(ctx, o)
+		err = e.load(ctx, order)
 	case engine.ActionUnload:
-		err = e.unload(o)
+		err = e.unload(order)
 	default:
-		err = refused{engine.RefusalBadRequest, "unknown action"}
+		err = refusalError{engine.RefusalBadRequest, "unknown action"}
 	}
-	if err == nil && e.take(&e.faults.LoseOrderAnswers) {
-		return errLost
+	if err == nil && e.consumeFault(&e.faults.LoseOrderAnswers) {
+		return errAnswerLost
 	}
 	return err
 }
 
-// take uses up one of a counted fault.
-func (e *Engine) take(n *int) bool {
+// consumeFault reports whether a fault applies now, and decrements the number of its remaining occurrences.
+func (e *Engine) consumeFault(remaining *int) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if *n <= 0 {
+	if *remaining <= 0 {
 		return false
 	}
-	*n--
+	*remaining--
 	return true
 }
 
-func (e *Engine) admitOrder(o engine.Order) error {
+// checkEpoch refuses an order with an old epoch if ChecksOrders is set, and stores a newer epoch.
+func (e *Engine) checkEpoch(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cfg.ChecksOrders && o.Epoch < e.epoch {
-		return refused{engine.RefusalStaleEpoch, "a newer owner has given orders"}
+	if e.cfg.ChecksOrders && order.Epoch < e.epoch {
+		return refusalError{engine.RefusalStaleEpoch, "a newer owner has sent orders"}
 	}
-	e.epoch = max(e.epoch, o.Epoch)
+	e.epoch = max(e.epoch, order.Epoch)
 	return nil
 }
 
-func (e *Engine) load(ctx context.Context, o engine.Order) error {
+func (e *Engine) load(ctx context.Context, order engine.Order) error {
 	e.mu.Lock()
-	_, have := e.loaded[o.Model]
-	full := len(e.loaded)+len(e.loading) >= e.cfg.Slots
-	if !have && !full {
-		e.loading[o.Model] = true
+	_, alreadyLoaded := e.requestsByModel[order.Model]
+	noFreeSlot := len(e.requestsByModel)+len(e.loading) >= e.cfg.Slots
+	if !alreadyLoaded && !noFreeSlot {
+		e.loading[order.Model] = true
 	}
 	incarnation := e.incarnation
 	e.mu.Unlock()
-	if have {
+	if alreadyLoaded {
 		return nil
 	}
-	if full {
-		return refused{engine.RefusalNoSlot, "all slots are taken"}
+	if noFreeSlot {
+		return refusalError{engine.RefusalNoSlot, "all slots are taken"}
 	}
 	var err error
 	if e.cfg.Fetch != nil {
-		err = e.cfg.Fetch(ctx, o.Weights)
+		err = e.cfg.Fetch(ctx, order.Weights)
 	}
-	if err == nil && e.take(&e.faults.FailLoads) {
+	if err == nil && e.consumeFault(&e.faults.FailLoads) {
 		err = errors.New("broken weights")
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if incarnation != e.incarnation {
-		return refused{engine.RefusalLoadFailed, "restarted"}
+		return refusalError{engine.RefusalLoadFailed, "restarted"}
 	}
-	delete(e.loading, o.Model)
+	delete(e.loading, order.Model)
 	if err != nil {
-		return refused{engine.RefusalLoadFailed, err.Error()}
+		return refusalError{engine.RefusalLoadFailed, err.Error()}
 	}
-	e.loaded[o.Model] = 0
+	e.requestsByModel[order.Model] = 0
 	e.history.Loads++
 	return nil
 }
 
-func (e *Engine) unload(o engine.Order) error {
+func (e *Engine) unload(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.loaded[o.Model] > 0 {
-		e.history.Violations = append(e.history.Violations, o.Model)
+	if e.requestsByModel[order.Model] > 0 {
+		e.history.Violations = append(e.history.Violations, order.Model)
 	}
-	delete(e.loaded, o.Model)
+	delete(e.requestsByModel, order.Model)
 	e.history.Unloads++
 	return nil
 }
 
-// run executes a request of n tokens and calls token for each.
-func (e *Engine) run(ctx context.Context, id, user, model string, n int, token func(i int) error) error {
+// run executes a request and calls emitToken for each of its tokens.
+func (e *Engine) run(ctx context.Context, id, user, model string, tokens int, emitToken func(i int) error) error {
 	e.mu.Lock()
-	if _, ok := e.loaded[model]; !ok {
+	if _, ok := e.requestsByModel[model]; !ok {
 		e.mu.Unlock()
-		return refused{engine.RefusalNotLoaded, model}
+		return refusalError{engine.RefusalNotLoaded, model}
 	}
-	e.loaded[model]++
+	e.requestsByModel[model]++
 	e.history.Runs[id]++
 	if user != "" {
 		e.history.Users[user]++
 	}
-	incarnation, batch := e.incarnation, e.batch
+	incarnation, batchSeats := e.incarnation, e.batchSeats
 	e.mu.Unlock()
-	defer e.finish(model, incarnation)
+	defer e.endRequest(model, incarnation)
 	select {
-	case batch <- struct{}{}:
+	case batchSeats <- struct{}{}:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { <-batch }()
-	for i := range n {
-		if err := e.step(ctx, len(batch)); err != nil {
+	defer func() { <-batchSeats }()
+	for i := range tokens {
+		if err := e.generateToken(ctx, len(batchSeats)); err != nil {
 			return err
 		}
-		if err := token(i); err != nil {
+		if err := emitToken(i); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// step takes the time of one token and counts its share of a shared engine step.
-func (e *Engine) step(ctx context.Context, sharing int) error {
+// generateToken waits for the time of one token and counts the token's share of an engine step.
+func (e *Engine) generateToken(ctx context.Context, sequences int) error {
 	if e.cfg.Step > 0 {
 		select {
 		case <-time.After(e.cfg.Step):
@@ -252,40 +261,42 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	// With n sequences sharing each step, n such calls make one step filled by n; both counters are scaled by 1000.
+	// If n sequences share each step, n calls add up to one step that is filled by n sequences. Both counters are multiplied
+	// by 1000, because integers cannot hold the fractions of a step.
 	const scale = 1000
-	e.steps += scale / int64(max(1, sharing))
+	e.steps += scale / int64(max(1, sequences))
 	e.filled += scale
 	return nil
 }
 
-func (e *Engine) finish(model, incarnation string) {
+// endRequest decrements the number of unfinished requests of a model, unless the engine has restarted since their start.
+func (e *Engine) endRequest(model, incarnation string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if n, ok := e.loaded[model]; ok && incarnation == e.incarnation && n > 0 {
-		e.loaded[model]--
+	if n, ok := e.requestsByModel[model]; ok && incarnation == e.incarnation && n > 0 {
+		e.requestsByModel[model]--
 	}
 }
 
-// Report returns the newest report that is at least ReportLag old.
+// Report returns the newest report that is at least ReportLag old, or the oldest report if none is that old.
 func (e *Engine) Report() engine.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	r := engine.Report{
-		Incarnation: e.incarnation, Epoch: e.epoch, Loaded: []string{}, Running: len(e.batch),
+		Incarnation: e.incarnation, Epoch: e.epoch, Loaded: []string{}, Running: len(e.batchSeats),
 		Steps: e.steps, Filled: e.filled, TakenAt: now,
 	}
-	for m := range e.loaded {
-		r.Loaded = append(r.Loaded, m)
+	for model := range e.requestsByModel {
+		r.Loaded = append(r.Loaded, model)
 	}
 	slices.Sort(r.Loaded)
 	if e.cfg.ReportLag <= 0 {
 		return r
 	}
-	e.reports = append(e.reports, r)
-	for len(e.reports) > 1 && now.Sub(e.reports[1].TakenAt) >= e.cfg.ReportLag {
-		e.reports = e.reports[1:]
+	e.recentReports = append(e.recentReports, r)
+	for len(e.recentReports) > 1 && now.Sub(e.recentReports[1].TakenAt) >= e.cfg.ReportLag {
+		e.recentReports = e.recentReports[1:]
 	}
-	return e.reports[0]
+	return e.recentReports[0]
 }
--- a/internal/fakeengine/handler.go
+++ b/internal/fakeengine/handler.go
@@ -12,8 +12,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// defaultTokens is the length of an answer whose request names none.
-const defaultTokens = 16
+// defaultMaxTokens is the length of a response if the request has no max_tokens.
+const defaultMaxTokens = 16
 
 type request struct {
 	Model     string          `json:"model"`
@@ -37,6 +37,7 @@
 	Content string `json:"content"`
 }
 
+// completion is a whole response or one event of a stream.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -44,15 +45,16 @@
 	Choices []choice `json:"choices"`
 }
 
-// Handler serves e, and POST /faults, POST /restart, GET /history for tests.
+// Handler returns the HTTP API of the engine. Besides the API of a real engine it has POST /faults, POST /restart and
+// GET /history for tests.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.handleRun)
 	mux.HandleFunc("POST /v1/completions", e.handleRun)
 	mux.HandleFunc("POST /orders", e.handleOrder)
 	mux.HandleFunc("GET /report", func(w http.ResponseWriter, _ *http.Request) {
-		// A rest is for requests: reports and orders are no work of the kind that it turns away.
-		_ = e.say(w.Header())
+		// Only requests are refused while Faults.Rest is set. Reports and orders are still accepted.
+		_ = e.setNoticeHeaders(w.Header())
 		httpx.WriteJSON(w, http.StatusOK, e.Report())
 	})
 	mux.HandleFunc("GET /history", func(w http.ResponseWriter, _ *http.Request) { httpx.WriteJSON(w, http.StatusOK, e.History()) })
@@ -71,50 +73,53 @@
 }
 
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
-	var o engine.Order
-	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
-		refuse(w, refused{engine.RefusalBadRequest, err.Error()})
+	var order engine.Order
+	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
+		writeRefusal(w, refusalError{engine.RefusalBadRequest, err.Error()})
 		return
 	}
-	if err := e.Order(r.Context(), o); err != nil {
-		refuse(w, err)
+	if err := e.Order(r.Context(), order); err != nil {
+		writeRefusal(w, err)
 		return
 	}
 	httpx.WriteJSON(w, http.StatusOK, struct{}{})
 }
 
 func (e *Engine) handleRun(w http.ResponseWriter, r *http.Request) {
-	if rest := e.say(w.Header()); rest != "" {
-		w.Header().Set("Retry-After", rest)
-		refuseWith(w, http.StatusServiceUnavailable, refused{engine.RefusalBusy, "the engine rests"})
+	if retryAfter := e.setNoticeHeaders(w.Header()); retryAfter != "" {
+		w.Header().Set("Retry-After", retryAfter)
+		writeRefusalWithStatus(w, http.StatusServiceUnavailable, refusalError{engine.RefusalBusy, "the engine refuses requests for now"})
 		return
 	}
-	var q request
-	if err := json.NewDecoder(r.Body).Decode(&q); err != nil {
-		refuse(w, refused{engine.RefusalBadRequest, err.Error()})
+	var req request
+	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
+		writeRefusal(w, refusalError{engine.RefusalBadRequest, err.Error()})
 		return
 	}
-	if q.MaxTokens <= 0 {
-		q.MaxTokens = defaultTokens
+	if req.MaxTokens <= 0 {
+		req.MaxTokens = defaultMaxTokens
 	}
-	a := &answerWriter{w: w, q: q, chat: strings.HasPrefix(r.URL.Path, "/v1/chat/"), id: r.Header.Get(result.HeaderRequest), model: q.Model}
-	if e.take(&e.faults.WrongAnswers) {
-		a.model = "another@1"
+	cw := &completionWriter{
+		w: w, req: req, chat: strings.HasPrefix(r.URL.Path, "/v1/chat/"), id: r.Header.Get(result.HeaderRequest), model: req.Model,
 	}
-	a.cut = e.take(&e.faults.CutStreams)
-	err := e.run(r.Context(), a.id, q.User, q.Model, q.MaxTokens, a.token)
-	if err == nil && e.take(&e.faults.LoseAnswers) {
-		err = errLost
+	if e.consumeFault(&e.faults.WrongAnswers) {
+		cw.model = "another@1"
+	}
+	cw.cutStream = e.consumeFault(&e.faults.CutStreams)
+	err := e.run(r.Context(), cw.id, req.User, req.Model, req.MaxTokens, cw.writeToken)
+	if err == nil && e.consumeFault(&e.faults.LoseAnswers) {
+		err = errAnswerLost
 	}
 	if err != nil {
-		refuse(w, err)
+		writeRefusal(w, err)
 		return
 	}
-	a.end()
+	cw.writeEnd()
 }
 
-// say says in the head of an answer what the engine says of itself. It returns the seconds of rest to ask for, empty if requests are taken.
-func (e *Engine) say(h http.Header) string {
+// setNoticeHeaders sets the headers that announce the engine's rate limit and that it is leaving. It returns the value of the
+// Retry-After header for requests, or an empty string if the engine accepts requests.
+func (e *Engine) setNoticeHeaders(h http.Header) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Rate != "" {
@@ -126,75 +131,82 @@
 	return e.faults.Rest
 }
 
-func refuse(w http.ResponseWriter, err error) { refuseWith(w, http.StatusConflict, err) }
+// writeRefusal writes a refusal with the status 409 (Conflict).
+func writeRefusal(w http.ResponseWriter, err error) {
+	writeRefusalWithStatus(w, http.StatusConflict, err)
+}
 
-func refuseWith(w http.ResponseWriter, status int, err error) {
-	var r refused
+// writeRefusalWithStatus writes a refusal. It closes the connection without a response if err is not a refusalError.
+func writeRefusalWithStatus(w http.ResponseWriter, status int, err error) {
+	var r refusalError
 	if !errors.As(err, &r) {
 		panic(http.ErrAbortHandler)
 	}
 	var body engine.Refusal
-	body.Error.Type, body.Error.Message = r.kind, r.text
+	body.Error.Type, body.Error.Message = r.kind, r.message
 	httpx.WriteJSON(w, status, body)
 }
 
-// answerWriter writes one answer, as a stream or whole.
-type answerWriter struct {
-	w     http.ResponseWriter
-	q     request
-	chat  bool
-	cut   bool
-	id    string
-	model string
-	text  strings.Builder
-	begun bool
+// completionWriter writes the response to one request, either as a stream or as one JSON object.
+type completionWriter struct {
+	w         http.ResponseWriter
+	req       request
+	chat      bool
+	cutStream bool
+	id        string
+	model     string
+	text      strings.Builder
+	headerSet bool
 }
 
-func (a *answerWriter) token(i int) error {
-	text := fmt.Sprintf("%s:%d ", a.q.Model, i)
-	if !a.q.Stream {
-		a.text.WriteString(text)
+func (cw *completionWriter) writeToken(i int) error {
+	text := fmt.Sprintf("%s:%d ", cw.req.Model, i)
+	if !cw.req.Stream {
+		cw.text.WriteString(text)
 		return nil
 	}
-	if a.cut && i > 0 {
-		return errLost
+	if cw.cutStream && i > 0 {
+		return errAnswerLost
 	}
-	if !a.begun {
-		a.begun = true
-		a.w.Header().Set("Content-Type", "text/event-stream")
+	if !cw.headerSet {
+		cw.headerSet = true
+		cw.w.Header().Set("Content-Type", "text/event-stream")
 	}
-	return a.event(choice{Text: text, Delta: &message{Content: text}})
+	return cw.writeEvent(choice{Text: text, Delta: &message{Content: text}})
 }
 
-func (a *answerWriter) event(c choice) error {
+func (cw *completionWriter) writeEvent(c choice) error {
 	object := "text_completion"
-	if a.chat {
+	if cw.chat {
 		c.Text, object = "", "chat.completion.chunk"
 	} else {
 		c.Delta = nil
 	}
-	b, err := json.Marshal(completion{ID: a.id, Object: object, Model: a.model, Choices: []choice{c}})
+	b, err := json.Marshal(completion{ID: cw.id, Object: object, Model: cw.model, Choices: []choice{c}})
 	if err != nil {
 		return err
 	}
-	if _, err := fmt.Fprintf(a.w, "data: %s\n\n", b); err != nil {
+	if _, err := fmt.Fprintf(cw.w, "data: %s\n\n", b); err != nil {
 		return err
 	}
-	return http.NewResponseController(a.w).Flush()
+	return http.NewResponseController(cw.w).Flush()
 }
 
-func (a *answerWriter) end() {
-	stop := "stop"
-	if a.q.Stream {
-		// The caller may be gone; there is nobody left to tell.
-		_ = a.event(choice{Delta: &message{}, FinishReason: &stop})
-		_, _ = fmt.Fprint(a.w, "data: [DONE]\n\n")
+func (cw *completionWriter) writeEnd() {
+	finishReason := "stop"
+	if cw.req.Stream {
+		// Ignore errors: if the caller has closed the connection, they cannot be reported to it.
+		_ = cw.writeEvent(choice{Delta: &message{}, FinishReason: &finishReason})
+		_, _ = fmt.Fprint(cw.w, "data: [DONE]\n\n")
 		return
 	}
-	c := completion{ID: a.id, Object: "text_completion", Model: a.model, Choices: []choice{{Text: a.text.String(), FinishReason: &stop}}}
-	if a.chat {
+	c := completion{
+		ID: cw.id, Object: "text_completion", Model: cw.model,
+		Choices: []choice{{Text: cw.text.String(), FinishReason: &finishReason}},
+	}
+	if cw.chat {
 		c.Object = "chat.completion"
-		c.Choices[0].Text, c.Choices[0].Message = "", &message{Role: "assistant", Content: a.text.String()}
+		c.Choices[0].Text, c.Choices[0].Message = "", &message{Role: "assistant", Content: cw.text.String()}
 	}
-	httpx.WriteJSON(a.w, http.StatusOK, c)
+	httpx.WriteJSON(cw.w, http.StatusOK, c)
 }
--- a/internal/fakeplatform/declare.go
+++ b/internal/fakeplatform/declare.go
@@ -8,7 +8,7 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// DeclareAdapters stores n adapters of a base model, adapter-00000 and so on, each with version 1.
+// DeclareAdapters stores n adapters of a base model, named adapter-00000, adapter-00001 and so on, each with version 1.
 func (s *Store) DeclareAdapters(ctx context.Context, n int, baseModel string) error {
 	for i := range n {
 		name := fmt.Sprintf("adapter-%05d", i)
--- a/internal/fakeplatform/handler.go
+++ b/internal/fakeplatform/handler.go
@@ -13,7 +13,8 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// Handler serves s in the protocol that objects.Client speaks, and POST /faults, POST /boxes, GET /counts for tests.
+// Handler returns the HTTP API of s. It implements the protocol of objects.Client, and POST /faults, POST /boxes and
+// GET /counts for tests.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /objects/{kind}/{name}", s.handleGet)
@@ -32,19 +33,19 @@
 
 func (s *Store) handleGet(w http.ResponseWriter, r *http.Request) {
 	o, err := s.Get(r.Context(), r.PathValue("kind"), r.PathValue("name"))
-	answer(w, o, err)
+	writeResponse(w, o, err)
 }
 
 func (s *Store) handleList(w http.ResponseWriter, r *http.Request) {
-	c, err := s.List(r.Context(), kindsOf(r), r.FormValue("after"))
-	answer(w, c, err)
+	c, err := s.List(r.Context(), requestedKinds(r), r.FormValue("after"))
+	writeResponse(w, c, err)
 }
 
 func (s *Store) handleWatch(w http.ResponseWriter, r *http.Request) {
 	from, _ := strconv.ParseInt(r.FormValue("from"), 10, 64)
 	wait, _ := time.ParseDuration(r.FormValue("wait"))
-	c, err := s.Watch(r.Context(), kindsOf(r), objects.Position(from), wait)
-	answer(w, c, err)
+	c, err := s.Watch(r.Context(), requestedKinds(r), objects.Position(from), wait)
+	writeResponse(w, c, err)
 }
 
 func (s *Store) handlePut(w http.ResponseWriter, r *http.Request) {
@@ -55,18 +56,18 @@
 	}
 	expect, _ := strconv.ParseInt(r.FormValue("expect"), 10, 64)
 	v, err := s.Put(r.Context(), r.PathValue("kind"), r.PathValue("name"), objects.Position(expect), b)
-	answer(w, objects.Object{Version: v}, err)
+	writeResponse(w, objects.Object{Version: v}, err)
 }
 
 func (s *Store) handleDelete(w http.ResponseWriter, r *http.Request) {
 	expect, _ := strconv.ParseInt(r.FormValue("expect"), 10, 64)
 	err := s.Delete(r.Context(), r.PathValue("kind"), r.PathValue("name"), objects.Position(expect))
-	answer(w, struct{}{}, err)
+	writeResponse(w, struct{}{}, err)
 }
 
 func (s *Store) handleBoxes(w http.ResponseWriter, r *http.Request) {
 	boxes, err := s.Boxes(r.Context())
-	answer(w, boxes, err)
+	writeResponse(w, boxes, err)
 }
 
 func (s *Store) handleSetBoxes(w http.ResponseWriter, r *http.Request) {
@@ -87,14 +88,16 @@
 	s.SetFaults(f)
 }
 
-func kindsOf(r *http.Request) []string {
+// requestedKinds returns the kinds of objects that a request is limited to. It returns nil if the request is for all kinds.
+func requestedKinds(r *http.Request) []string {
 	if r.FormValue("kinds") == "" {
 		return nil
 	}
 	return strings.Split(r.FormValue("kinds"), ",")
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+// writeResponse writes v as JSON, or the status that objects.Client expects for err.
+func writeResponse(w http.ResponseWriter, v any, err error) {
 	switch {
 	case err == nil:
 		httpx.WriteJSON(w, http.StatusOK, v)
@@ -105,7 +108,7 @@
 	case errors.Is(err, objects.ErrGone):
 		http.Error(w, err.Error(), http.StatusGone)
 	case errors.Is(err, objects.ErrAnswerLost):
-		// The connection breaks off, as when the answer is lost on the way.
+		// Close the connection to simulate a response that is lost in the network.
 		panic(http.ErrAbortHandler)
 	default:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/fakeplatform/store.go
+++ b/internal/fakeplatform/store.go
@@ -1,4 +1,4 @@
-// Package fakeplatform stands in for the platform: the object API and the box list.
+// Package fakeplatform implements a fake platform for tests, with an object API and a list of boxes.
 package fakeplatform
 
 import (
@@ -12,23 +12,23 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// pageSize is how many objects a List returns at most.
-const pageSize = 500
+// maxPageObjects is the maximum number of objects that a call of List returns.
+const maxPageObjects = 500
 
-// historyLimit is how many changes are kept for watches.
-const historyLimit = 4096
+// maxHistory is the maximum number of changes that are kept for watches.
+const maxHistory = 4096
 
-// Faults are switched on by tests and by POST /faults.
+// Faults are the faults that the platform simulates. Tests set them directly or by POST /faults.
 type Faults struct {
-	// Down refuses every call.
+	// Down makes every call fail.
 	Down bool `json:"down"`
 	// Delay is added to every call.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers lets this many writes take effect and loses their answers.
+	// LoseAnswers is the number of upcoming writes that take effect, but whose callers receive no response.
 	LoseAnswers int `json:"lose_answers"`
 }
 
-// Counts are the calls taken so far.
+// Counts are the numbers of calls received so far.
 type Counts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
@@ -36,20 +36,23 @@
 
 type key struct{ kind, name string }
 
-// Store is the in-memory object store. It implements objects.API without a network.
+// Store is an in-memory object store. It implements objects.API without a network.
 type Store struct {
-	mu       sync.Mutex
-	objects  map[key]objects.Object
-	history  []objects.Object
-	dropped  objects.Position
-	revision objects.Position
-	changed  chan struct{}
-	boxes    []objects.Box
-	faults   Faults
-	counts   Counts
-	// listed is the last list made, for the next page of it.
-	listed      objects.Changes
-	listedKinds string
+	mu      sync.Mutex
+	objects map[key]objects.Object
+	// history has the latest changes, for watches.
+	history []objects.Object
+	// lastDropped is the position of the latest change that the history does not contain.
+	lastDropped objects.Position
+	revision    objects.Position
+	// changed is closed at the next change.
+	changed chan struct{}
+	boxes   []objects.Box
+	faults  Faults
+	counts  Counts
+	// cachedList is the latest result of listObjects, for the next pages of the same list. cachedListKinds are its kinds.
+	cachedList      objects.Changes
+	cachedListKinds string
 }
 
 var _ objects.API = (*Store)(nil)
@@ -73,21 +76,21 @@
 	s.boxes = slices.Clone(boxes)
 }
 
-// Counts returns the calls taken so far.
+// Counts returns the numbers of calls received so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Snapshot returns a copy of all that is stored, for Restore.
+// Snapshot returns a copy of all stored objects, for use with Restore and Rewind.
 func (s *Store) Snapshot() objects.Changes {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list(nil)
+	return s.listObjects(nil)
 }
 
-// Restore puts an older copy back, as a platform restored from a backup does.
+// Restore replaces all objects and the revision by those of an older snapshot, like a platform that is restored from a backup.
 func (s *Store) Restore(c objects.Changes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,12 +98,12 @@
 	for _, o := range c.Objects {
 		s.objects[key{o.Kind, o.Name}] = o
 	}
-	s.history, s.dropped, s.revision = nil, c.Revision, c.Revision
-	s.listed = objects.Changes{}
-	s.wake()
+	s.history, s.lastDropped, s.revision = nil, c.Revision, c.Revision
+	s.cachedList = objects.Changes{}
+	s.notifyWatchers()
 }
 
-// Rewind puts an older copy back and begins the next era.
+// Rewind restores an older snapshot and starts the next era.
 func (s *Store) Rewind(c objects.Changes) {
 	s.mu.Lock()
 	era := s.revision.Era() + 1
@@ -115,7 +118,7 @@
 
 // Get implements objects.API.
 func (s *Store) Get(ctx context.Context, kind, name string) (objects.Object, error) {
-	if err := s.enter(ctx, false); err != nil {
+	if err := s.beginCall(ctx, false); err != nil {
 		return objects.Object{}, err
 	}
 	s.mu.Lock()
@@ -129,32 +132,33 @@
 
 // List implements objects.API.
 func (s *Store) List(ctx context.Context, kinds []string, after string) (objects.Changes, error) {
-	if err := s.enter(ctx, false); err != nil {
+	if err := s.beginCall(ctx, false); err != nil {
 		return objects.Changes{}, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return page(s.list(kinds), after), nil
+	return pageAfter(s.listObjects(kinds), after), nil
 }
 
-// page cuts the page after a name out of a list in the order of kind and name.
-func page(all objects.Changes, after string) objects.Changes {
+// pageAfter returns the page that starts after the given path (kind and name). The objects must be sorted by path.
+func pageAfter(all objects.Changes, after string) objects.Changes {
 	path := func(o objects.Object) string { return o.Kind + "/" + o.Name }
-	from, found := slices.BinarySearchFunc(all.Objects, after, func(o objects.Object, s string) int { return strings.Compare(path(o), s) })
+	start, found := slices.BinarySearchFunc(all.Objects, after, func(o objects.Object, s string) int { return strings.Compare(path(o), s) })
 	if found {
-		from++
+		start++
 	}
-	to := min(from+pageSize, len(all.Objects))
-	out := objects.Changes{Revision: all.Revision, Objects: all.Objects[from:to]}
-	if to < len(all.Objects) {
-		out.Next = path(all.Objects[to-1])
+	end := min(start+maxPageObjects, len(all.Objects))
+	nextPage := objects.Changes{Revision: all.Revision, Objects: all.Objects[start:end]}
+	if end < len(all.Objects) {
+		nextPage.Next = path(all.Objects[end-1])
 	}
-	return out
+	return nextPage
 }
 
-func (s *Store) list(kinds []string) objects.Changes {
-	if s.listed.Revision == s.revision && s.listedKinds == strings.Join(kinds, ",") {
-		return s.listed
+// listObjects returns all objects of some kinds sorted by path. If kinds is empty, it returns the objects of all kinds.
+func (s *Store) listObjects(kinds []string) objects.Changes {
+	if s.cachedList.Revision == s.revision && s.cachedListKinds == strings.Join(kinds, ",") {
+		return s.cachedList
 	}
 	c := objects.Changes{Revision: s.revision}
 	for _, o := range s.objects {
@@ -163,7 +167,7 @@
 		}
 	}
 	slices.SortFunc(c.Objects, func(a, b objects.Object) int { return strings.Compare(a.Kind+"/"+a.Name, b.Kind+"/"+b.Name) })
-	s.listed, s.listedKinds = c, strings.Join(kinds, ",")
+	s.cachedList, s.cachedListKinds = c, strings.Join(kinds, ",")
 	return c
 }
 
@@ -172,14 +176,14 @@
 
 // Watch implements objects.API.
 func (s *Store) Watch(ctx context.Context, kinds []string, from objects.Position, wait time.Duration) (objects.Changes, error) {
-	if err := s.enter(ctx, false); err != nil {
+	if err := s.beginCall(ctx, false); err != nil {
 		return objects.Changes{}, err
 	}
 	timeout := time.NewTimer(wait)
 	defer timeout.Stop()
 	for {
 		s.mu.Lock()
-		c, err := s.since(kinds, from)
+		c, err := s.changesSince(kinds, from)
 		changed, down := s.changed, s.faults.Down
 		s.mu.Unlock()
 		if down {
@@ -198,8 +202,9 @@
 	}
 }
 
-func (s *Store) since(kinds []string, from objects.Position) (objects.Changes, error) {
-	if from < s.dropped || from > s.revision {
+// changesSince returns the changes after a position. It returns objects.ErrGone if the history does not contain all of them.
+func (s *Store) changesSince(kinds []string, from objects.Position) (objects.Changes, error) {
+	if from < s.lastDropped || from > s.revision {
 		return objects.Changes{}, objects.ErrGone
 	}
 	c := objects.Changes{Revision: s.revision}
@@ -222,14 +227,15 @@
 	return err
 }
 
+// write stores or deletes an object if its present version is the expected one.
 func (s *Store) write(ctx context.Context, o objects.Object, expect objects.Position) (objects.Position, error) {
-	if err := s.enter(ctx, true); err != nil {
+	if err := s.beginCall(ctx, true); err != nil {
 		return 0, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := key{o.Kind, o.Name}
-	if have := s.objects[k].Version; have != expect && (have.Exists() || expect.Exists()) {
+	if current := s.objects[k].Version; current != expect && (current.Exists() || expect.Exists()) {
 		return 0, objects.ErrConflict
 	}
 	s.revision++
@@ -240,11 +246,11 @@
 		s.objects[k] = o
 	}
 	s.history = append(s.history, o)
-	if len(s.history) > historyLimit {
-		s.dropped = s.history[0].Version
+	if len(s.history) > maxHistory {
+		s.lastDropped = s.history[0].Version
 		s.history = slices.Delete(s.history, 0, 1)
 	}
-	s.wake()
+	s.notifyWatchers()
 	if s.faults.LoseAnswers > 0 {
 		s.faults.LoseAnswers--
 		return 0, objects.ErrAnswerLost
@@ -254,7 +260,7 @@
 
 // Boxes implements objects.API.
 func (s *Store) Boxes(ctx context.Context) ([]objects.Box, error) {
-	if err := s.enter(ctx, false); err != nil {
+	if err := s.beginCall(ctx, false); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -262,10 +268,10 @@
 	return slices.Clone(s.boxes), nil
 }
 
-// enter counts the call and applies the delay and the outage.
-func (s *Store) enter(ctx context.Context, write bool) error {
+// beginCall counts the call and simulates the delay and the outage of the faults.
+func (s *Store) beginCall(ctx context.Context, isWrite bool) error {
 	s.mu.Lock()
-	if write {
+	if isWrite {
 		s.counts.Writes++
 	} else {
 		s.counts.Reads++
@@ -286,7 +292,8 @@
 	}
 }
 
-func (s *Store) wake() {
+// notifyWatchers makes all watches look for new changes.
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
--- a/internal/fakeservice/service.go
+++ b/internal/fakeservice/service.go
@@ -1,4 +1,5 @@
-// Package fakeservice stands in for a plain service, some of whose calls must not be repeated.
+// Package fakeservice implements a fake HTTP service for tests. It counts the executions of each call, so that tests find calls
+// that were repeated although they must not be.
 package fakeservice
 
 import (
@@ -11,28 +12,29 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Faults are switched on by tests.
+// Faults are the faults that the service simulates.
 type Faults struct {
-	// BreakAfterRun runs this many calls and breaks the connection.
+	// BreakAfterRun is the number of upcoming calls that are executed, but whose connection is closed before the response.
 	BreakAfterRun int
-	// Refuse answers this many calls with 503 before running them.
+	// Refuse is the number of upcoming calls that are refused with status 503 and not executed.
 	Refuse int
-	// Rate, if set, is named in all answers as the calls a second that the service takes from all boxes.
+	// Rate, if set, is sent with all responses as the number of calls per second that the service accepts from all boxes
+	// together.
 	Rate string
-	// Leaving says in all answers that the service leaves.
+	// Leaving adds the header to all responses that announces that the service is leaving.
 	Leaving bool
-	// Rest, if set, turns all calls away and names as many seconds of rest.
+	// Rest, if set, makes the service refuse all calls and is sent as the Retry-After header, in seconds.
 	Rest string
 }
 
-// Reply is what the service answers.
+// Reply is the response to a call.
 type Reply struct {
 	Service   string `json:"service"`
 	RequestID string `json:"request_id"`
 	Bytes     int64  `json:"bytes"`
 }
 
-// Service is the stand-in.
+// Service is the fake service.
 type Service struct {
 	name   string
 	mu     sync.Mutex
@@ -40,7 +42,7 @@
 	faults Faults
 }
 
-// New returns a Service.
+// New returns a Service with the given name.
 func New(name string) *Service { return &Service{name: name, runs: map[string]int{}} }
 
 // SetFaults replaces the faults.
@@ -50,14 +52,14 @@
 	s.faults = f
 }
 
-// Runs returns how often each request id was run.
+// Runs returns the number of executions by request ID.
 func (s *Service) Runs() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.runs)
 }
 
-// Handler serves every path; GET /history tells the runs.
+// Handler returns a handler that accepts calls on every path, except that GET /history returns Runs.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /history", func(w http.ResponseWriter, _ *http.Request) { httpx.WriteJSON(w, http.StatusOK, s.Runs()) })
@@ -66,12 +68,12 @@
 }
 
 func (s *Service) handle(w http.ResponseWriter, r *http.Request) {
-	if rest := s.say(w.Header()); rest != "" {
-		w.Header().Set("Retry-After", rest)
+	if retryAfter := s.setNoticeHeaders(w.Header()); retryAfter != "" {
+		w.Header().Set("Retry-After", retryAfter)
 		http.Error(w, "resting", http.StatusServiceUnavailable)
 		return
 	}
-	if s.refuses() {
+	if s.consumeRefusal() {
 		http.Error(w, "busy", http.StatusServiceUnavailable)
 		return
 	}
@@ -80,14 +82,15 @@
 		return
 	}
 	id := r.Header.Get(result.HeaderRequest)
-	if s.runAndBreak(id) {
+	if s.recordRun(id) {
 		panic(http.ErrAbortHandler)
 	}
 	httpx.WriteJSON(w, http.StatusOK, Reply{Service: s.name, RequestID: id, Bytes: n})
 }
 
-// say says in the head of an answer what the service says of itself. It returns the seconds of rest to ask for, empty if calls are taken.
-func (s *Service) say(h http.Header) string {
+// setNoticeHeaders sets the headers that announce the service's rate limit and that it is leaving. It returns the value of the
+// Retry-After header, or an empty string if the service accepts calls.
+func (s *Service) setNoticeHeaders(h http.Header) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Rate != "" {
@@ -99,7 +102,8 @@
 	return s.faults.Rest
 }
 
-func (s *Service) refuses() bool {
+// consumeRefusal reports whether to refuse a call, and decrements the number of calls that remain to be refused.
+func (s *Service) consumeRefusal() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.Refuse <= 0 {
@@ -109,7 +113,8 @@
 	return true
 }
 
-func (s *Service) runAndBreak(id string) bool {
+// recordRun counts an execution. It reports whether to close the connection instead of sending a response.
+func (s *Service) recordRun(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.runs[id]++
--- a/internal/fakestore/store.go
+++ b/internal/fakestore/store.go
@@ -1,4 +1,5 @@
-// Package fakestore stands in for the weight store: limited loads a second, few of them at full speed.
+// Package fakestore implements a fake weight store for tests. It limits the loads per second and slows down loads if too many
+// run at the same time.
 package fakestore
 
 import (
@@ -11,84 +12,87 @@
 
 // Config configures a Store.
 type Config struct {
-	// PerSecond is the rate of loads, AtOnce how many run at full speed.
+	// PerSecond is the maximum number of loads that start per second. It is unlimited if 0.
+	// AtOnce is the maximum number of loads that run at full speed at the same time.
 	PerSecond float64 `json:"per_second"`
 	AtOnce    int     `json:"at_once"`
-	// LoadTime is the time of one load at full speed.
+	// LoadTime is the duration of a load at full speed.
 	LoadTime time.Duration `json:"load_time"`
 }
 
-// Counts are the loads so far.
+// Counts are statistics of the loads so far.
 type Counts struct {
 	Loads int `json:"loads"`
-	// Peak is the most loads that ran at once.
+	// Peak is the maximum number of loads that ran at the same time.
 	Peak int `json:"peak"`
-	// Slowed counts loads that ran above AtOnce or above the rate.
+	// Slowed counts the loads that were slowed down or delayed because they exceeded AtOnce or PerSecond.
 	Slowed int `json:"slowed"`
 }
 
-// Store is the stand-in.
+// Store is the fake weight store.
 type Store struct {
-	cfg     Config
-	mu      sync.Mutex
-	running int
-	next    time.Time
-	counts  Counts
+	cfg         Config
+	mu          sync.Mutex
+	activeLoads int
+	// nextLoadStart is the earliest time at which PerSecond allows the next load to start.
+	nextLoadStart time.Time
+	counts        Counts
 }
 
 // New returns a Store.
 func New(cfg Config) *Store { return &Store{cfg: cfg} }
 
-// Fetch takes the time that a load takes now.
+// Fetch simulates a load: it waits for the time that a load takes under the current number of loads.
 func (s *Store) Fetch(ctx context.Context, _ string) error {
-	wait := s.begin()
-	defer s.end()
+	duration := s.startLoad()
+	defer s.endLoad()
 	select {
-	case <-time.After(wait):
+	case <-time.After(duration):
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// begin reserves the next load of the rate and stretches loads above AtOnce.
-func (s *Store) begin() time.Duration {
+// startLoad counts a load and returns its duration. The duration includes the delay that PerSecond requires, and is longer if
+// more than AtOnce loads run at the same time.
+func (s *Store) startLoad() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	s.running++
+	s.activeLoads++
 	s.counts.Loads++
-	s.counts.Peak = max(s.counts.Peak, s.running)
-	var queued time.Duration
-	if s.next.After(now) {
-		queued = s.next.Sub(now)
+	s.counts.Peak = max(s.counts.Peak, s.activeLoads)
+	var queueDelay time.Duration
+	if s.nextLoadStart.After(now) {
+		queueDelay = s.nextLoadStart.Sub(now)
 	} else {
-		s.next = now
+		s.nextLoadStart = now
 	}
 	if s.cfg.PerSecond > 0 {
-		s.next = s.next.Add(time.Duration(float64(time.Second) / s.cfg.PerSecond))
+		s.nextLoadStart = s.nextLoadStart.Add(time.Duration(float64(time.Second) / s.cfg.PerSecond))
 	}
-	stretch := max(1, float64(s.running)/float64(max(1, s.cfg.AtOnce)))
-	if queued > 0 || stretch > 1 {
+	slowdown := max(1, float64(s.activeLoads)/float64(max(1, s.cfg.AtOnce)))
+	if queueDelay > 0 || slowdown > 1 {
 		s.counts.Slowed++
 	}
-	return queued + time.Duration(stretch*float64(s.cfg.LoadTime))
+	return queueDelay + time.Duration(slowdown*float64(s.cfg.LoadTime))
 }
 
-func (s *Store) end() {
+func (s *Store) endLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running--
+	s.activeLoads--
 }
 
-// Counts returns the loads so far.
+// Counts returns the statistics of the loads so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Handler serves GET /weights/{key} and GET /counts.
+// Handler returns a handler for GET /weights/{key}, which simulates a load, and GET /counts.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{key}", func(w http.ResponseWriter, r *http.Request) {
@@ -98,7 +102,7 @@
 		w.WriteHeader(http.StatusOK)
 	})
 	mux.HandleFunc("GET /counts", func(w http.ResponseWriter, _ *http.Request) {
-		// The reader may be gone; there is nobody left to tell.
+		// Ignore errors: if the client has closed the connection, they cannot be reported to it.
 		_ = json.NewEncoder(w).Encode(s.Counts())
 	})
 	return mux
--- a/internal/logline/limit.go
+++ b/internal/logline/limit.go
@@ -6,25 +6,27 @@
 	"k8s.io/klog/v2"
 )
 
-// Limit bounds how many lines a second tell of things that may happen by the hundred at once. It is not safe for concurrent use.
+// Limit limits the log lines per second of an event that can occur hundreds of times at once. It is not safe for concurrent
+// use.
 type Limit struct {
-	// Most is how many lines a second there are.
+	// Most is the maximum number of lines per second.
 	Most int
-	// count is how many there were in the present second, leftOut those that were one too many since the last line.
-	second         time.Time
-	count, leftOut int
+	// written counts the lines of the second that began at secondStart. omitted counts the lines that were not written since
+	// the last written line.
+	secondStart      time.Time
+	written, omitted int
 }
 
-// Info writes a line, unless there have been too many.
-func (l *Limit) Info(now time.Time, line string, values ...any) {
-	if now.Sub(l.second) >= time.Second {
-		l.second, l.count = now, 0
+// Info writes a line, unless the limit of this second is reached. The line includes the number of lines omitted before it.
+func (l *Limit) Info(now time.Time, msg string, keysAndValues ...any) {
+	if now.Sub(l.secondStart) >= time.Second {
+		l.secondStart, l.written = now, 0
 	}
-	if l.count >= l.Most {
-		l.leftOut++
+	if l.written >= l.Most {
+		l.omitted++
 		return
 	}
-	l.count++
-	klog.InfoSDepth(1, line, append(values, "left_out", l.leftOut)...)
-	l.leftOut = 0
+	l.written++
+	klog.InfoSDepth(1, msg, append(keysAndValues, "left_out", l.omitted)...)
+	l.omitted = 0
 }
--- a/internal/logline/limit_test.go
+++ b/internal/logline/limit_test.go
@@ -7,6 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// TestLimit checks that lines above the limit are omitted and counted.
 func TestLimit(t *testing.T) {
 	c := qt.New(t)
 	l := Limit{Most: 3}
@@ -14,7 +15,7 @@
 	for range 5 {
 		l.Info(now, "line")
 	}
-	c.Check(l.leftOut, qt.Equals, 2)
+	c.Check(l.omitted, qt.Equals, 2)
 	l.Info(now.Add(time.Second), "line")
-	c.Check(l.leftOut, qt.Equals, 0, qt.Commentf("the next line has told of them"))
+	c.Check(l.omitted, qt.Equals, 0, qt.Commentf("the next line reports the omitted lines and resets their count"))
 }
--- a/internal/logline/logline.go
+++ b/internal/logline/logline.go
@@ -1,4 +1,4 @@
-// Package logline reads the structured lines of bellgap's log.
+// Package logline parses the structured lines of bellgap's log and limits the rate at which lines are written.
 package logline
 
 import (
@@ -8,24 +8,24 @@
 	"strings"
 )
 
-// maxLine bounds a line that is read.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a line that can be read.
+const maxLineBytes = 1 << 20
 
-// Line is one line of the log.
+// Line is a parsed line of the log.
 type Line struct {
-	// Head is what stands before the message: severity, time, place.
+	// Head is the text before the message: severity, time, process ID and position in the source.
 	Head    string
 	Message string
 	Fields  []Field
 }
 
-// Field is one value of a line, with its quotes taken off.
+// Field is a key and its value, without the quotes around the value.
 type Field struct {
 	Key   string
 	Value string
 }
 
-// Get returns the value of a key, empty if there is none.
+// Get returns the value of a key, or an empty string if the line does not have the key.
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -35,15 +35,15 @@
 	return ""
 }
 
-// Parse reads a line; ok is false for one that has no quoted message.
+// Parse parses a line. It returns false if the line has no quoted message.
 func Parse(text string) (l Line, ok bool) {
-	at := strings.Index(text, `] "`)
-	if at < 0 {
+	headEnd := strings.Index(text, `] "`)
+	if headEnd < 0 {
 		return l, false
 	}
-	l.Head = text[:at+1]
-	rest := text[at+2:]
-	if l.Message, rest, ok = quoted(rest); !ok {
+	l.Head = text[:headEnd+1]
+	rest := text[headEnd+2:]
+	if l.Message, rest, ok = cutQuoted(rest); !ok {
 		return l, false
 	}
 	for rest = strings.TrimLeft(rest, " "); rest != ""; rest = strings.TrimLeft(rest, " ") {
@@ -52,15 +52,15 @@
 		if !ok {
 			return l, true
 		}
-		f.Value, rest = value(rest)
+		f.Value, rest = cutValue(rest)
 		l.Fields = append(l.Fields, f)
 	}
 	return l, true
 }
 
-// value takes the first value off rest: a quoted text, a list in brackets or a word.
-func value(rest string) (v, after string) {
-	if text, tail, ok := quoted(rest); ok {
+// cutValue splits rest after its first value, which is a quoted string, a list in brackets or a word.
+func cutValue(rest string) (v, after string) {
+	if text, tail, ok := cutQuoted(rest); ok {
 		return text, tail
 	}
 	if strings.HasPrefix(rest, "[") {
@@ -72,7 +72,9 @@
 	return v, after
 }
 
-func quoted(text string) (v, after string, ok bool) {
+// cutQuoted splits text after the quoted string at its start, and returns that string without quotes. It returns false if text
+// does not start with a quoted string.
+func cutQuoted(text string) (v, after string, ok bool) {
 	prefix, err := strconv.QuotedPrefix(text)
 	if err != nil {
 		return "", text, false
@@ -81,25 +83,26 @@
 	return v, text[len(prefix):], err == nil
 }
 
-// Find returns the lines that name a value under any key, in the order of the log.
-func Find(r io.Reader, wanted string) ([]Line, error) {
+// Find returns the lines in which the value of any key is equal to search, or is a list with an element that starts or ends with
+// search. The lines are in the order of the log.
+func Find(r io.Reader, search string) ([]Line, error) {
 	var found []Line
-	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
-	for lines.Scan() {
-		if !strings.Contains(lines.Text(), wanted) {
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLineBytes)
+	for scanner.Scan() {
+		if !strings.Contains(scanner.Text(), search) {
 			continue
 		}
-		l, ok := Parse(lines.Text())
+		l, ok := Parse(scanner.Text())
 		if !ok {
 			continue
 		}
 		for _, f := range l.Fields {
-			if f.Value == wanted || strings.Contains(f.Value, `"`+wanted) || strings.Contains(f.Value, wanted+`"`) {
+			if f.Value == search || strings.Contains(f.Value, `"`+search) || strings.Contains(f.Value, search+`"`) {
 				found = append(found, l)
 				break
 			}
 		}
 	}
-	return found, lines.Err()
+	return found, scanner.Err()
 }
--- a/internal/logline/logline_test.go
+++ b/internal/logline/logline_test.go
@@ -27,20 +27,20 @@
 
 func TestFind(t *testing.T) {
 	for _, tt := range []struct {
-		name   string
-		wanted string
-		want   int
+		name      string
+		search    string
+		wantLines int
 	}{
-		{"a request", "f15b", 1},
-		{"an engine among the tries", "b/i-2=granted", 1},
-		{"a part of another value", "f15", 0},
+		{"a request ID", "f15b", 1},
+		{"an element of a list", "b/i-2=granted", 1},
+		{"a part of a value", "f15", 0},
 		{"nothing", "zzz", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			lines, err := logline.Find(strings.NewReader("noise f15b\n"+requestLine+"\n"), tt.wanted)
+			lines, err := logline.Find(strings.NewReader("noise f15b\n"+requestLine+"\n"), tt.search)
 			c.Assert(err, qt.IsNil)
-			c.Check(lines, qt.HasLen, tt.want)
+			c.Check(lines, qt.HasLen, tt.wantLines)
 		})
 	}
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,4 +1,4 @@
-// Package logsink writes log lines to a stream that may block, without ever making the writers wait.
+// Package logsink writes log lines to a stream that may block, without blocking the code that logs.
 package logsink
 
 import (
@@ -13,12 +13,13 @@
 )
 
 const (
-	// ring bounds the lines that wait: about a second of the lines of a box under full load.
-	ring = 2048
-	// tellEvery is how often lines that were left out are told.
-	tellEvery = time.Second
-	// flushTime bounds the writing of what waits when the process ends.
-	flushTime = 200 * time.Millisecond
+	// maxBufferedLines is the maximum number of lines in the buffer. It is about the number of lines that a box under full load
+	// logs in a second.
+	maxBufferedLines = 2048
+	// dropReportInterval is the interval at which the number of dropped lines is written to the stream.
+	dropReportInterval = time.Second
+	// flushTimeout is the maximum time to write the buffered lines when the process ends.
+	flushTimeout = 200 * time.Millisecond
 )
 
 // Config configures a Sink.
@@ -26,48 +27,49 @@
 	Out io.Writer
 }
 
-// Sink takes lines in at once and writes them one after the other. Lines that find the ring full are left out and counted.
+// Sink buffers lines and writes them to the stream in order. If the buffer is full, it drops and counts further lines.
 type Sink struct {
-	cfg     Config
-	lines   chan []byte
-	dropped atomic.Int64
-	total   atomic.Int64
-	done    chan struct{}
+	cfg   Config
+	lines chan []byte
+	// unreportedDrops counts the dropped lines since the last report, totalDrops all dropped lines.
+	unreportedDrops atomic.Int64
+	totalDrops      atomic.Int64
+	done            chan struct{}
 }
 
-// New returns a Sink; its Serve has to run.
+// New returns a Sink. The caller must run its Serve method, which writes the lines.
 func New(cfg Config) *Sink {
-	return &Sink{cfg: cfg, lines: make(chan []byte, ring), done: make(chan struct{})}
+	return &Sink{cfg: cfg, lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 }
 
-// Done is closed when Serve has ended.
+// Done returns a channel that is closed when Serve ends.
 func (s *Sink) Done() <-chan struct{} { return s.done }
 
-// Dropped returns how many lines have been left out so far.
-func (s *Sink) Dropped() int64 { return s.total.Load() }
+// Dropped returns the number of lines dropped so far.
+func (s *Sink) Dropped() int64 { return s.totalDrops.Load() }
 
-// Write implements io.Writer. It never waits and never fails.
+// Write implements io.Writer. It never blocks and never fails.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
 	default:
-		s.dropped.Add(1)
-		s.total.Add(1)
+		s.unreportedDrops.Add(1)
+		s.totalDrops.Add(1)
 	}
 	return len(line), nil
 }
 
-// Serve writes lines until ctx ends, then what still waits.
+// Serve writes lines until ctx is done, and then flushes the buffer.
 func (s *Sink) Serve(ctx context.Context) error {
 	defer part.CloseAtEnd(ctx, s.done)
-	tell := time.NewTicker(tellEvery)
-	defer tell.Stop()
+	dropReports := time.NewTicker(dropReportInterval)
+	defer dropReports.Stop()
 	for {
 		select {
 		case line := <-s.lines:
-			s.write(line)
-		case <-tell.C:
-			s.tellDropped()
+			s.writeLine(line)
+		case <-dropReports.C:
+			s.reportDrops()
 		case <-ctx.Done():
 			s.flush()
 			return ctx.Err()
@@ -75,24 +77,25 @@
 	}
 }
 
-// write passes a line on. A stream that fails has nobody left to tell.
-func (s *Sink) write(line []byte) { _, _ = s.cfg.Out.Write(line) }
+// writeLine writes a line to the stream. It ignores errors, because the stream is the only place to report them.
+func (s *Sink) writeLine(line []byte) { _, _ = s.cfg.Out.Write(line) }
 
-func (s *Sink) tellDropped() {
-	if n := s.dropped.Swap(0); n > 0 {
-		s.write(fmt.Appendf(nil, "\"log lines left out\" lines=%d\n", n))
+// reportDrops writes a line with the number of lines dropped since the last report, if there are any.
+func (s *Sink) reportDrops() {
+	if n := s.unreportedDrops.Swap(0); n > 0 {
+		s.writeLine(fmt.Appendf(nil, "\"log lines dropped\" lines=%d\n", n))
 	}
 }
 
-// flush writes what waits, for a short time only.
+// flush writes the buffered lines until the buffer is empty or flushTimeout has passed.
 func (s *Sink) flush() {
-	end := clock.Now().Add(flushTime)
-	for clock.Now().Before(end) {
+	deadline := clock.Now().Add(flushTimeout)
+	for clock.Now().Before(deadline) {
 		select {
 		case line := <-s.lines:
-			s.write(line)
+			s.writeLine(line)
 		default:
-			s.tellDropped()
+			s.reportDrops()
 			return
 		}
 	}
--- a/internal/policybench/event.go
+++ b/internal/policybench/event.go
@@ -4,35 +4,37 @@
 	"time"
 )
 
-// epoch is the start of virtual time.
-var epoch = time.Unix(1_000_000, 0)
+// virtualStart is the start of virtual time.
+var virtualStart = time.Unix(1_000_000, 0)
 
+// event is an action at a virtual time. Events of the same time take place in ascending order.
 type event struct {
-	at  time.Time
-	seq int
-	do  func()
+	at     time.Time
+	order  int
+	action func()
 }
 
-type events []event
+// eventQueue is a heap of events, with the next event first.
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].seq < e[j].seq
+	return e[i].order < e[j].order
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 
 // Push implements heap.Interface.
-func (e *events) Push(x any) {
+func (e *eventQueue) Push(x any) {
 	if ev, ok := x.(event); ok {
 		*e = append(*e, ev)
 	}
 }
 
 // Pop implements heap.Interface.
-func (e *events) Pop() any {
+func (e *eventQueue) Pop() any {
 	last := len(*e) - 1
 	ev := (*e)[last]
 	*e = (*e)[:last]
--- a/internal/policybench/policy.go
+++ b/internal/policybench/policy.go
@@ -1,52 +1,56 @@
 package policybench
 
-// Route is how a policy chooses the engine of a request.
-type Route int
+// Routing is the method by which a policy selects the engine for a request.
+type Routing int
 
-// The routes.
+// The routing methods.
 const (
-	// RouteHome takes the daemon's candidates in the daemon's order.
-	RouteHome Route = iota
-	// RouteHomeOnly takes only the first candidate.
-	RouteHomeOnly
-	// RouteRandom takes any engine of the base model.
+	// RouteCandidates tries the daemon's candidate engines in the daemon's order.
+	RouteCandidates Routing = iota
+	// RouteFirstCandidate tries only the first of the daemon's candidates.
+	RouteFirstCandidate
+	// RouteRandom selects a random engine of the base model.
 	RouteRandom
-	// RouteLeastLoaded takes the engine with the fewest requests in the last report, a second old.
+	// RouteLeastLoaded selects the engine with the fewest requests in the last report. Reports are made once per second.
 	RouteLeastLoaded
 )
 
-// Evict is how a policy chooses what to unload.
-type Evict int
+// Eviction is the method by which a policy selects the adapter to unload.
+type Eviction int
 
-// The evictions.
+// The eviction methods.
 const (
-	EvictRate Evict = iota
+	// EvictLowestRate uses the daemon's own rating of adapters.
+	EvictLowestRate Eviction = iota
+	// EvictLRU unloads the least recently used adapter.
 	EvictLRU
+	// EvictLFU unloads the least frequently used adapter.
 	EvictLFU
-	EvictClairvoyant
+	// EvictFarthestNextUse unloads the adapter whose next request is farthest in the future.
+	EvictFarthestNextUse
 )
 
-// Policy is one way to decide.
+// Policy is a set of rules for routing, eviction and loads.
 type Policy struct {
-	Name  string
-	Route Route
-	Evict Evict
-	// Uncoordinated lets each engine load at once; loads above the budget slow all down.
+	Name     string
+	Routing  Routing
+	Eviction Eviction
+	// Uncoordinated lets each engine load adapters immediately. If the loads exceed the budget, all of them are slowed down.
 	Uncoordinated bool
-	// Pooled treats all engines of a base model as one, for the bound.
+	// Pooled treats all engines of a base model as one large engine. The clairvoyant bound uses it.
 	Pooled bool
 }
 
-// Policies returns the daemon's policy first, then the baselines, then the bound.
+// Policies returns the daemon's policy, the baselines and the clairvoyant bound, in this order.
 func Policies() []Policy {
 	return []Policy{
 		{Name: "bellgap"},
-		{Name: "home only", Route: RouteHomeOnly},
-		{Name: "LRU", Evict: EvictLRU},
-		{Name: "LFU", Evict: EvictLFU},
+		{Name: "home only", Routing: RouteFirstCandidate},
+		{Name: "LRU", Eviction: EvictLRU},
+		{Name: "LFU", Eviction: EvictLFU},
 		{Name: "uncoordinated loads", Uncoordinated: true},
-		{Name: "least loaded", Route: RouteLeastLoaded, Evict: EvictLRU},
-		{Name: "random", Route: RouteRandom, Evict: EvictLRU},
-		{Name: "clairvoyant bound", Route: RouteHomeOnly, Evict: EvictClairvoyant, Pooled: true},
+		{Name: "least loaded", Routing: RouteLeastLoaded, Eviction: EvictLRU},
+		{Name: "random", Routing: RouteRandom, Eviction: EvictLRU},
+		{Name: "clairvoyant bound", Routing: RouteFirstCandidate, Eviction: EvictFarthestNextUse, Pooled: true},
 	}
 }
--- a/internal/policybench/policybench_test.go
+++ b/internal/policybench/policybench_test.go
@@ -9,24 +9,25 @@
 	"github.com/bellgap/bellgap/internal/policybench"
 )
 
-// runAll runs a scenario of shortened length under every policy.
-func runAll(s policybench.Scenario, length time.Duration) map[string]policybench.Result {
+// runAllPolicies runs a scenario with the given length under every policy and returns the results by policy name.
+func runAllPolicies(s policybench.Scenario, length time.Duration) map[string]policybench.Result {
 	s.Length = length
-	s.NightWait = min(s.NightWait, length)
-	all := map[string]policybench.Result{}
+	s.NonUrgentWait = min(s.NonUrgentWait, length)
+	results := map[string]policybench.Result{}
 	for _, p := range policybench.Policies() {
-		all[p.Name] = policybench.Run(s, p, 1)
+		results[p.Name] = policybench.Run(s, p, 1)
 	}
-	return all
+	return results
 }
 
-// TestBounds fails when the decisions get worse. The figures are counts in virtual time, the same on every machine.
-func TestBounds(t *testing.T) {
+// TestStallTimeBounds guards against changes that make the daemon's decisions worse than the limits below. The results are
+// counts and durations in virtual time, so they are the same on every machine.
+func TestStallTimeBounds(t *testing.T) {
 	for _, tt := range []struct {
 		scenario policybench.Scenario
-		// bound is the most stall time over the clairvoyant bound's.
-		bound   float64
-		refused int
+		// maxBoundRatio is the maximum ratio of the daemon's stall time to that of the clairvoyant bound.
+		maxBoundRatio float64
+		maxRefused    int
 	}{
 		{policybench.Downs(policybench.TurnNone), 1.40, 0},
 		{policybench.Downs(policybench.TurnHotSet), 1.60, 20},
@@ -37,24 +38,27 @@
 	} {
 		t.Run(tt.scenario.Name, func(t *testing.T) {
 			c := qt.New(t)
-			all := runAll(tt.scenario, 40*time.Minute)
-			own := all["bellgap"]
-			t.Logf("stall time %s, bound %s, refused %d", own.StallTime, all["clairvoyant bound"].StallTime, own.Refused)
-			c.Check(float64(own.StallTime) <= tt.bound*float64(all["clairvoyant bound"].StallTime), qt.IsTrue)
-			c.Check(own.Refused <= tt.refused, qt.IsTrue, qt.Commentf("%d refused", own.Refused))
+			results := runAllPolicies(tt.scenario, 40*time.Minute)
+			daemon := results["bellgap"]
+			t.Logf("stall time %s, clairvoyant bound %s, refused requests %d",
+				daemon.StallTime, results["clairvoyant bound"].StallTime, daemon.Refused)
+			c.Check(float64(daemon.StallTime) <= tt.maxBoundRatio*float64(results["clairvoyant bound"].StallTime), qt.IsTrue)
+			c.Check(daemon.Refused <= tt.maxRefused, qt.IsTrue, qt.Commentf("%d requests refused", daemon.Refused))
 			for _, baseline := range []struct {
 				name string
-				// most is the most stall time over the baseline's.
-				most float64
+				// maxRatio is the maximum ratio of the daemon's stall time to that of the baseline.
+				maxRatio float64
 			}{{"random", 0.5}, {"least loaded", 0.5}, {"uncoordinated loads", 0.6}, {"LRU", 1}, {"LFU", 1.01}} {
-				theirs := all[baseline.name].StallTime
-				c.Check(float64(own.StallTime) <= baseline.most*float64(theirs), qt.IsTrue, qt.Commentf("%s: %s", baseline.name, theirs))
+				baselineStallTime := results[baseline.name].StallTime
+				c.Check(float64(daemon.StallTime) <= baseline.maxRatio*float64(baselineStallTime), qt.IsTrue,
+					qt.Commentf("stall time of baseline %s: %s", baseline.name, baselineStallTime))
 			}
 		})
 	}
 }
 
-// TestGoodputAtTwiceCapacity compares what is served of twice the load with what is served of the load at capacity.
+// TestGoodputAtTwiceCapacity checks that at twice the load the daemon serves at least 95% of the requests that it serves at
+// capacity.
 func TestGoodputAtTwiceCapacity(t *testing.T) {
 	c := qt.New(t)
 	capacity := policybench.Downs(policybench.TurnNone)
@@ -62,17 +66,18 @@
 	twice := capacity
 	twice.Rate *= 2
 	p := policybench.Policies()[0]
-	at, above := policybench.Run(capacity, p, 1), policybench.Run(twice, p, 1)
-	t.Logf("served %d at capacity, %d at twice", at.Served, above.Served)
-	c.Check(float64(above.Served) >= 0.95*float64(at.Served), qt.IsTrue)
+	capacityResult, twiceResult := policybench.Run(capacity, p, 1), policybench.Run(twice, p, 1)
+	t.Logf("served %d requests at capacity, %d at twice the load", capacityResult.Served, twiceResult.Served)
+	c.Check(float64(twiceResult.Served) >= 0.95*float64(capacityResult.Served), qt.IsTrue)
 }
 
-func TestSameSeedSameFigures(t *testing.T) {
+// TestSameSeedGivesSameResults checks that two runs with the same seed have the same results.
+func TestSameSeedGivesSameResults(t *testing.T) {
 	c := qt.New(t)
 	s := policybench.Lima(policybench.TurnHotSet)
 	s.Length = 5 * time.Minute
 	p := policybench.Policies()[0]
-	one, two := policybench.Run(s, p, 3), policybench.Run(s, p, 3)
-	c.Check(one.StallTime, qt.Equals, two.StallTime)
-	c.Check(one.Loads, qt.Equals, two.Loads)
+	first, second := policybench.Run(s, p, 3), policybench.Run(s, p, 3)
+	c.Check(first.StallTime, qt.Equals, second.StallTime)
+	c.Check(first.Loads, qt.Equals, second.Loads)
 }
--- a/internal/policybench/result.go
+++ b/internal/policybench/result.go
@@ -7,75 +7,80 @@
 	"time"
 )
 
-// Result is what a run measured.
+// Result contains the measurements of one run.
 type Result struct {
 	Scenario, Policy string
-	// Urgent and Night count arrivals; Served and Refused their ends.
-	Urgent, Night   int
-	Served, Refused int
-	RefusedUrgent   int
-	// Stalls counts urgent requests that waited for their adapter, StallTime their waits in all, refused ones included.
+	// Urgent and NonUrgent count the requests that arrived, Served and Refused their outcomes.
+	Urgent, NonUrgent int
+	Served, Refused   int
+	RefusedUrgent     int
+	// Stalls counts the urgent requests that waited for their adapter to be loaded. StallTime is the sum of their waiting
+	// times. Both include refused requests.
 	Stalls    int
 	StallTime time.Duration
 	StallP99  time.Duration
-	// FirstP95 is the wait for a start of urgent requests, 95 in 100.
-	FirstP95 time.Duration
-	// Fill is the mean filled share of the engines' steps.
-	Fill float64
-	// Loads counts loads from the store, Hops engines tried beyond the first.
-	Loads, Hops int
+	// StartWaitP95 is the 95th percentile of the time that urgent requests waited for their start.
+	StartWaitP95 time.Duration
+	// StepFill is the average used share of the batch size in the engines' steps.
+	StepFill float64
+	// Loads counts the loads from the store. ExtraTries counts the engines that were tried after the first one.
+	Loads, ExtraTries int
 
-	seats, busy, filled float64
-	waits, stalls       []time.Duration
+	// busySeconds is the time in which engines ran requests, added up over the engines. sequenceSeconds is the time in which
+	// requests ran, added up over the requests.
+	batchSize, busySeconds, sequenceSeconds float64
+	startWaits, stallTimes                  []time.Duration
 }
 
-func (o *Result) arrived(urgent bool) {
+func (r *Result) recordArrival(urgent bool) {
 	if urgent {
-		o.Urgent++
+		r.Urgent++
 		return
 	}
-	o.Night++
+	r.NonUrgent++
 }
 
-func (o *Result) started(p *pending, waited, stalled time.Duration) {
-	o.Served++
+func (r *Result) recordStart(p *pendingRequest, waited, stalled time.Duration) {
+	r.Served++
 	if !p.urgent {
 		return
 	}
-	o.waits = append(o.waits, waited)
-	o.stall(stalled)
+	r.startWaits = append(r.startWaits, waited)
+	r.recordStall(stalled)
 }
 
-func (o *Result) stall(d time.Duration) {
-	o.stalls = append(o.stalls, d)
-	if d > 0 {
-		o.Stalls++
-		o.StallTime += d
+// recordStall records the time that an urgent request waited for its adapter, which may be 0.
+func (r *Result) recordStall(stalled time.Duration) {
+	r.stallTimes = append(r.stallTimes, stalled)
+	if stalled > 0 {
+		r.Stalls++
+		r.StallTime += stalled
 	}
 }
 
-func (o *Result) refused(p *pending, waited time.Duration) {
-	o.Refused++
+func (r *Result) recordRefusal(p *pendingRequest, waited time.Duration) {
+	r.Refused++
 	if p.urgent {
-		o.RefusedUrgent++
-		o.stall(waited)
+		r.RefusedUrgent++
+		r.recordStall(waited)
 	}
 }
 
-func (o *Result) finish() {
-	o.FirstP95 = quantile(o.waits, 0.95)
-	o.StallP99 = quantile(o.stalls, 0.99)
-	if o.busy > 0 {
-		o.Fill = o.filled / o.busy / o.seats
+func (r *Result) computeStatistics() {
+	r.StartWaitP95 = computeQuantile(r.startWaits, 0.95)
+	r.StallP99 = computeQuantile(r.stallTimes, 0.99)
+	if r.busySeconds > 0 {
+		r.StepFill = r.sequenceSeconds / r.busySeconds / r.batchSize
 	}
 }
 
-func quantile(d []time.Duration, q float64) time.Duration {
-	if len(d) == 0 {
+// computeQuantile sorts durations and returns their quantile q, where q is between 0 and 1.
+func computeQuantile(durations []time.Duration, q float64) time.Duration {
+	if len(durations) == 0 {
 		return 0
 	}
-	slices.Sort(d)
-	return d[min(len(d)-1, int(q*float64(len(d))))]
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(q*float64(len(durations))))]
 }
 
 // Write writes results as a Markdown table.
@@ -84,11 +89,11 @@
 	if err != nil {
 		return err
 	}
-	for _, o := range results {
-		n := float64(o.Urgent + o.Night)
+	for _, r := range results {
+		totalRequests := float64(r.Urgent + r.NonUrgent)
 		_, err := fmt.Fprintf(w, "| %s | %s | %d | %d (%d) | %d | %.0f | %.2f | %.2f | %.1f%% | %.0f | %.0f |\n",
-			o.Scenario, o.Policy, o.Served, o.Refused, o.RefusedUrgent, o.Stalls, o.StallTime.Seconds(), o.StallP99.Seconds(),
-			o.FirstP95.Seconds(), 100*o.Fill, 1000*float64(o.Loads)/n, 1000*float64(o.Hops)/n)
+			r.Scenario, r.Policy, r.Served, r.Refused, r.RefusedUrgent, r.Stalls, r.StallTime.Seconds(), r.StallP99.Seconds(),
+			r.StartWaitP95.Seconds(), 100*r.StepFill, 1000*float64(r.Loads)/totalRequests, 1000*float64(r.ExtraTries)/totalRequests)
 		if err != nil {
 			return err
 		}
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -14,175 +14,184 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// worker is one fake engine with its owner's state.
+// worker simulates an engine together with the state of its owner.
 type worker struct {
-	name    string
-	model   int
-	state   *owner.State
-	running int
-	// since is when running last changed.
-	since    time.Time
-	reported int
-	// lastUse and uses serve the LRU and LFU baselines.
-	lastUse map[resource.Ref]time.Time
-	uses    map[resource.Ref]float64
+	name            string
+	modelIndex      int
+	state           *owner.State
+	runningRequests int
+	// runningSince is the time at which runningRequests last changed.
+	runningSince time.Time
+	// reportedRequests is the number of running and waiting requests at the last tick.
+	reportedRequests int
+	// lastUse is used by the LRU baseline, useCounts by the LFU baseline.
+	lastUse   map[resource.Ref]time.Time
+	useCounts map[resource.Ref]float64
 }
 
-// pending is a request under way.
-type pending struct {
+// pendingRequest is a request that is neither complete nor finally refused.
+type pendingRequest struct {
 	request
-	id     uint64
-	left   []*worker
-	urgent bool
+	id               uint64
+	remainingWorkers []*worker
+	urgent           bool
 }
 
-// asker is who asked for a permit, and for what.
-type asker struct {
+// permitRequest is a worker's request for a permit to load an adapter.
+type permitRequest struct {
 	worker *worker
 	ref    resource.Ref
 }
 
-// run is one scenario under one policy.
-type run struct {
+// simulation is the state of one run of a scenario under a policy.
+type simulation struct {
 	scenario Scenario
 	policy   Policy
 	now      time.Time
-	queue    events
-	seq      int
-	workers  []*worker
-	byName   map[string]*worker
-	byModel  [][]string
-	permits  *loads.Queue
-	asking   map[uint64]asker
-	nextID   uint64
-	// nextGrant is when the budget is looked at again.
-	nextGrant time.Time
-	loading   int
-	slow      bool
-	pending   map[uint64]*pending
-	random    *rand.Rand
-	next      func(resource.Ref, time.Duration) time.Duration
-	out       Result
+	events   eventQueue
+	// lastEventOrder is the order of the event that was scheduled last.
+	lastEventOrder     int
+	workers            []*worker
+	workerByName       map[string]*worker
+	workerNamesByModel [][]string
+	permitQueue        *loads.Queue
+	permitRequests     map[uint64]permitRequest
+	nextID             uint64
+	// nextGrantCheck is the time at which the budget is checked again for permits to grant.
+	nextGrantCheck  time.Time
+	activeLoads     int
+	storeSlow       bool
+	pendingRequests map[uint64]*pendingRequest
+	random          *rand.Rand
+	nextUseOf       func(resource.Ref, time.Duration) time.Duration
+	measurements    Result
 }
 
-// Run runs a scenario under a policy and returns its figures; the same seed gives the same figures.
+// Run runs a scenario under a policy and returns the measurements. Runs with the same seed give the same measurements.
 func Run(s Scenario, p Policy, seed uint64) Result {
-	requests := s.requests(seed)
-	r := &run{
-		scenario: s, policy: p, now: epoch, byName: map[string]*worker{}, byModel: make([][]string, s.Models),
-		asking: map[uint64]asker{}, pending: map[uint64]*pending{}, random: rand.New(rand.NewPCG(seed, 11)),
-		out: Result{Scenario: s.Name, Policy: p.Name}, next: nextUse(requests),
+	requests := s.drawRequests(seed)
+	sim := &simulation{
+		scenario: s, policy: p, now: virtualStart, workerByName: map[string]*worker{}, workerNamesByModel: make([][]string, s.Models),
+		permitRequests: map[uint64]permitRequest{}, pendingRequests: map[uint64]*pendingRequest{}, random: rand.New(rand.NewPCG(seed, 11)),
+		measurements: Result{Scenario: s.Name, Policy: p.Name}, nextUseOf: indexNextUses(requests),
 	}
-	r.permits = loads.NewQueue(epoch, func() loads.Budget { return r.budget() })
-	r.addWorkers()
-	for _, q := range requests {
-		r.at(epoch.Add(q.at), func() { r.arrive(q) })
+	sim.permitQueue = loads.NewQueue(virtualStart, func() loads.Budget { return sim.loadBudget() })
+	sim.addWorkers()
+	for _, req := range requests {
+		sim.schedule(virtualStart.Add(req.arrivalOffset), func() { sim.handleArrival(req) })
 	}
-	for t := time.Second; t < s.Length+s.NightWait; t += time.Second {
-		r.at(epoch.Add(t), r.tick)
+	for t := time.Second; t < s.Length+s.NonUrgentWait; t += time.Second {
+		sim.schedule(virtualStart.Add(t), sim.tick)
 	}
-	r.at(epoch.Add(s.Length/2), r.turn)
-	for r.queue.Len() > 0 {
-		ev, ok := heap.Pop(&r.queue).(event)
+	sim.schedule(virtualStart.Add(s.Length/2), sim.applyDisturbance)
+	for sim.events.Len() > 0 {
+		ev, ok := heap.Pop(&sim.events).(event)
 		if !ok {
 			break
 		}
-		r.now = ev.at
-		ev.do()
+		sim.now = ev.at
+		ev.action()
 	}
-	r.out.finish()
-	return r.out
+	sim.measurements.computeStatistics()
+	return sim.measurements
 }
 
-func (r *run) budget() loads.Budget {
-	b := r.scenario.Budget
-	if r.slow {
+func (sim *simulation) loadBudget() loads.Budget {
+	b := sim.scenario.Budget
+	if sim.storeSlow {
 		const third = 3
 		b.PerSecond /= third
 	}
 	return b
 }
 
-func (r *run) addWorkers() {
-	s := r.scenario
-	n, slots, batch := s.Engines, s.Slots, s.Batch
-	if r.policy.Pooled {
-		n, slots, batch = s.Models, s.Slots*s.Engines/s.Models, s.Batch*s.Engines/s.Models
+func (sim *simulation) addWorkers() {
+	s := sim.scenario
+	workerCount, slots, batch := s.Engines, s.Slots, s.Batch
+	if sim.policy.Pooled {
+		workerCount, slots, batch = s.Models, s.Slots*s.Engines/s.Models, s.Batch*s.Engines/s.Models
 	}
-	for i := range n {
+	for i := range workerCount {
 		w := &worker{
-			name: fmt.Sprintf("engine-%03d", i), model: i % s.Models, since: epoch,
-			lastUse: map[resource.Ref]time.Time{}, uses: map[resource.Ref]float64{},
+			name: fmt.Sprintf("engine-%03d", i), modelIndex: i % s.Models, runningSince: virtualStart,
+			lastUse: map[resource.Ref]time.Time{}, useCounts: map[resource.Ref]float64{},
 		}
-		w.state = owner.New(owner.Config{Slots: slots, Batch: batch, MaxQueue: 256, Worth: r.worth(w), Pack: s.Pack && r.policy.Route == RouteHome})
-		r.workers = append(r.workers, w)
-		r.byName[w.name] = w
-		r.byModel[w.model] = append(r.byModel[w.model], w.name)
+		w.state = owner.New(owner.Config{
+			Slots: slots, Batch: batch, MaxQueue: 256, Worth: sim.evictionRating(w),
+			Pack: s.Pack && sim.policy.Routing == RouteCandidates,
+		})
+		sim.workers = append(sim.workers, w)
+		sim.workerByName[w.name] = w
+		sim.workerNamesByModel[w.modelIndex] = append(sim.workerNamesByModel[w.modelIndex], w.name)
 	}
-	r.out.seats = float64(batch)
+	sim.measurements.batchSize = float64(batch)
 }
 
-// worth returns the baseline's rating of an adapter, nil for the daemon's own.
-func (r *run) worth(w *worker) func(resource.Ref, time.Time) float64 {
-	switch r.policy.Evict {
+// evictionRating returns the function by which the policy rates adapters: the adapter with the lowest rating is unloaded first.
+// It returns nil if the daemon's own rating applies.
+func (sim *simulation) evictionRating(w *worker) func(resource.Ref, time.Time) float64 {
+	switch sim.policy.Eviction {
 	case EvictLRU:
-		return func(ref resource.Ref, _ time.Time) float64 { return w.lastUse[ref].Sub(epoch).Seconds() }
+		return func(ref resource.Ref, _ time.Time) float64 { return w.lastUse[ref].Sub(virtualStart).Seconds() }
 	case EvictLFU:
-		return func(ref resource.Ref, _ time.Time) float64 { return w.uses[ref] }
-	case EvictClairvoyant:
-		return func(ref resource.Ref, now time.Time) float64 { return -r.next(ref, now.Sub(epoch)).Seconds() }
+		return func(ref resource.Ref, _ time.Time) float64 { return w.useCounts[ref] }
+	case EvictFarthestNextUse:
+		return func(ref resource.Ref, now time.Time) float64 {
+			return -sim.nextUseOf(ref, now.Sub(virtualStart)).Seconds()
+		}
 	default:
 		return nil
 	}
 }
 
-func (r *run) at(t time.Time, do func()) {
-	r.seq++
-	heap.Push(&r.queue, event{t, r.seq, do})
+func (sim *simulation) schedule(t time.Time, action func()) {
+	sim.lastEventOrder++
+	heap.Push(&sim.events, event{t, sim.lastEventOrder, action})
 }
 
-func (r *run) arrive(q request) {
-	r.nextID++
-	p := &pending{request: q, id: r.nextID, urgent: q.urgent, left: r.route(q)}
-	r.pending[p.id] = p
-	r.out.arrived(q.urgent)
-	r.offer(p)
+func (sim *simulation) handleArrival(req request) {
+	sim.nextID++
+	p := &pendingRequest{request: req, id: sim.nextID, urgent: req.urgent, remainingWorkers: sim.selectWorkers(req)}
+	sim.pendingRequests[p.id] = p
+	sim.measurements.recordArrival(req.urgent)
+	sim.submit(p)
 }
 
-// route returns the engines to try in turn.
-func (r *run) route(q request) []*worker {
-	names := r.byModel[q.model]
-	switch r.policy.Route {
+// selectWorkers returns the engines to try for a request, in this order.
+func (sim *simulation) selectWorkers(req request) []*worker {
+	names := sim.workerNamesByModel[req.modelIndex]
+	switch sim.policy.Routing {
 	case RouteRandom:
-		return []*worker{r.byName[names[r.random.IntN(len(names))]]}
+		return []*worker{sim.workerByName[names[sim.random.IntN(len(names))]]}
 	case RouteLeastLoaded:
-		return []*worker{r.leastLoaded(names)}
-	case RouteHomeOnly:
-		return r.named(placement.Top(q.ref.String(), names, 1))
+		return []*worker{sim.leastLoaded(names)}
+	case RouteFirstCandidate:
+		return sim.findWorkers(placement.Top(req.ref.String(), names, 1))
 	default:
 		const candidates = 3
-		return r.named(placement.Top(q.ref.String(), names, candidates))
+		return sim.findWorkers(placement.Top(req.ref.String(), names, candidates))
 	}
 }
 
-func (r *run) named(names []string) []*worker {
-	var ws []*worker
+func (sim *simulation) findWorkers(names []string) []*worker {
+	var found []*worker
 	for _, n := range names {
-		ws = append(ws, r.byName[n])
+		found = append(found, sim.workerByName[n])
 	}
-	return ws
+	return found
 }
 
-func (r *run) leastLoaded(names []string) *worker {
-	best := r.byName[names[0]]
+// leastLoaded returns the engine with the fewest reported requests, or a random one of several with equally few.
+func (sim *simulation) leastLoaded(names []string) *worker {
+	best := sim.workerByName[names[0]]
 	ties := 0
 	for _, n := range names {
-		w := r.byName[n]
+		w := sim.workerByName[n]
 		switch {
-		case w.reported < best.reported:
+		case w.reportedRequests < best.reportedRequests:
 			best, ties = w, 1
-		case w.reported == best.reported:
-			if ties++; r.random.IntN(ties) == 0 {
+		case w.reportedRequests == best.reportedRequests:
+			if ties++; sim.random.IntN(ties) == 0 {
 				best = w
 			}
 		}
@@ -190,138 +199,147 @@
 	return best
 }
 
-// offer submits a request to the next engine on its list.
-func (r *run) offer(p *pending) {
-	w := p.left[0]
-	p.left = p.left[1:]
-	wait, urgency := r.scenario.Wait, 50
+// submit submits a request to the next of its remaining engines.
+func (sim *simulation) submit(p *pendingRequest) {
+	w := p.remainingWorkers[0]
+	p.remainingWorkers = p.remainingWorkers[1:]
+	wait, urgency := sim.scenario.UrgentWait, 50
 	if !p.urgent {
-		wait, urgency = r.scenario.NightWait, 0
+		wait, urgency = sim.scenario.NonUrgentWait, 0
 	}
-	w.lastUse[p.ref] = r.now
-	w.uses[p.ref]++
-	arrived := epoch.Add(p.at)
-	r.carryOut(w, w.state.Submit(r.now, owner.Ticket{
-		ID: p.id, Ref: p.ref, Urgency: urgency, Arrived: arrived, StartBy: arrived.Add(wait), Last: len(p.left) == 0,
+	w.lastUse[p.ref] = sim.now
+	w.useCounts[p.ref]++
+	arrived := virtualStart.Add(p.arrivalOffset)
+	sim.execute(w, w.state.Submit(sim.now, owner.Ticket{
+		ID: p.id, Ref: p.ref, Urgency: urgency, Arrived: arrived, StartBy: arrived.Add(wait), Last: len(p.remainingWorkers) == 0,
 	}))
 }
 
-func (r *run) carryOut(w *worker, actions []owner.Action) {
+// execute executes the actions that the owner of an engine decided on.
+func (sim *simulation) execute(w *worker, actions []owner.Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case owner.Start:
-			r.start(w, a)
+			sim.startRequest(w, a)
 		case owner.Refuse:
-			r.refuse(a)
+			sim.handleRefusal(a)
 		case owner.AskPermit:
-			r.ask(w, a)
+			sim.requestPermit(w, a)
 		case owner.Load:
-			r.load(w, a)
+			sim.startLoad(w, a)
 		case owner.Unload:
-			r.carryOut(w, w.state.Unloaded(r.now, a.Ref, nil))
+			sim.execute(w, w.state.Unloaded(sim.now, a.Ref, nil))
 		case owner.ReturnPermit:
-			r.permits.Refund()
-			r.grant()
+			sim.permitQueue.Refund()
+			sim.grantPermits()
 		}
 	}
 }
 
-func (r *run) start(w *worker, a owner.Start) {
-	p := r.pending[a.Ticket.ID]
-	r.account(w)
-	w.running++
-	r.out.started(p, r.now.Sub(a.Ticket.Arrived), a.Stalled)
-	r.at(r.now.Add(time.Duration(p.tokens)*r.scenario.Step), func() {
-		r.account(w)
-		w.running--
-		delete(r.pending, p.id)
-		r.carryOut(w, w.state.Done(r.now, p.id, owner.EndWhole))
+func (sim *simulation) startRequest(w *worker, a owner.Start) {
+	p := sim.pendingRequests[a.Ticket.ID]
+	sim.recordStepFill(w)
+	w.runningRequests++
+	sim.measurements.recordStart(p, sim.now.Sub(a.Ticket.Arrived), a.Stalled)
+	sim.schedule(sim.now.Add(time.Duration(p.tokens)*sim.scenario.Step), func() {
+		sim.recordStepFill(w)
+		w.runningRequests--
+		delete(sim.pendingRequests, p.id)
+		sim.execute(w, w.state.Done(sim.now, p.id, owner.EndWhole))
 	})
 }
 
-// account adds the time since the last change to the fill of the engine's steps.
-func (r *run) account(w *worker) {
-	if w.running > 0 {
-		busy := r.now.Sub(w.since).Seconds()
-		r.out.busy += busy
-		r.out.filled += busy * float64(w.running)
+// recordStepFill adds the time since the last change of the engine's running requests to the statistics of step fill.
+func (sim *simulation) recordStepFill(w *worker) {
+	if w.runningRequests > 0 {
+		busy := sim.now.Sub(w.runningSince).Seconds()
+		sim.measurements.busySeconds += busy
+		sim.measurements.sequenceSeconds += busy * float64(w.runningRequests)
 	}
-	w.since = r.now
+	w.runningSince = sim.now
 }
 
-func (r *run) refuse(a owner.Refuse) {
-	p := r.pending[a.Ticket.ID]
-	if len(p.left) > 0 && a.Err.Code != result.DeadlineUnmet {
-		r.out.Hops++
-		r.offer(p)
+// handleRefusal submits a refused request to its next engine. The refusal is final if there is none or the deadline cannot be
+// met.
+func (sim *simulation) handleRefusal(a owner.Refuse) {
+	p := sim.pendingRequests[a.Ticket.ID]
+	if len(p.remainingWorkers) > 0 && a.Err.Code != result.DeadlineUnmet {
+		sim.measurements.ExtraTries++
+		sim.submit(p)
 		return
 	}
-	delete(r.pending, p.id)
-	r.out.refused(p, r.now.Sub(a.Ticket.Arrived))
+	delete(sim.pendingRequests, p.id)
+	sim.measurements.recordRefusal(p, sim.now.Sub(a.Ticket.Arrived))
 }
 
-func (r *run) ask(w *worker, a owner.AskPermit) {
-	if r.policy.Uncoordinated {
-		r.at(r.now, func() { r.carryOut(w, w.state.Granted(r.now, a.Ref)) })
+func (sim *simulation) requestPermit(w *worker, a owner.AskPermit) {
+	if sim.policy.Uncoordinated {
+		sim.schedule(sim.now, func() { sim.execute(w, w.state.Granted(sim.now, a.Ref)) })
 		return
 	}
-	r.nextID++
-	r.asking[r.nextID] = asker{w, a.Ref}
-	r.permits.Add(loads.Waiting{ID: r.nextID, Need: loads.Need{Engine: w.name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters}, Since: r.now})
-	r.grant()
+	sim.nextID++
+	sim.permitRequests[sim.nextID] = permitRequest{w, a.Ref}
+	sim.permitQueue.Add(loads.Waiting{
+		ID:    sim.nextID,
+		Need:  loads.Need{Engine: w.name, Urgency: a.Urgency, StartBy: a.StartBy, Waiters: a.Waiters},
+		Since: sim.now,
+	})
+	sim.grantPermits()
 }
 
-// grant hands out what the budget allows now and looks again when it allows more.
-func (r *run) grant() {
+// grantPermits grants the permits that the budget allows now, and schedules the next check for when it allows more.
+func (sim *simulation) grantPermits() {
 	for {
-		n, ok := r.permits.Next(r.now)
+		next, ok := sim.permitQueue.Next(sim.now)
 		if !ok {
 			break
 		}
-		who := r.asking[n.ID]
-		delete(r.asking, n.ID)
-		r.at(r.now, func() { r.carryOut(who.worker, who.worker.state.Granted(r.now, who.ref)) })
+		permit := sim.permitRequests[next.ID]
+		delete(sim.permitRequests, next.ID)
+		sim.schedule(sim.now, func() { sim.execute(permit.worker, permit.worker.state.Granted(sim.now, permit.ref)) })
 	}
-	d, ok := r.permits.Wait(r.now)
-	if !ok || d <= 0 || (r.nextGrant.After(r.now) && !r.nextGrant.After(r.now.Add(d))) {
+	wait, ok := sim.permitQueue.Wait(sim.now)
+	if !ok || wait <= 0 || (sim.nextGrantCheck.After(sim.now) && !sim.nextGrantCheck.After(sim.now.Add(wait))) {
 		return
 	}
-	r.nextGrant = r.now.Add(d)
-	r.at(r.nextGrant, r.grant)
+	sim.nextGrantCheck = sim.now.Add(wait)
+	sim.schedule(sim.nextGrantCheck, sim.grantPermits)
 }
 
-// load takes the store's time; above the budget all loads slow down.
-func (r *run) load(w *worker, a owner.Load) {
-	r.loading++
-	r.out.Loads++
-	took := r.scenario.LoadTime
-	if r.policy.Uncoordinated {
-		took = max(took, time.Duration(float64(r.loading)/r.budget().PerSecond*float64(time.Second)))
+// startLoad simulates a load from the store. If uncoordinated loads exceed the budget, they take longer.
+func (sim *simulation) startLoad(w *worker, a owner.Load) {
+	sim.activeLoads++
+	sim.measurements.Loads++
+	duration := sim.scenario.LoadTime
+	if sim.policy.Uncoordinated {
+		duration = max(duration, time.Duration(float64(sim.activeLoads)/sim.loadBudget().PerSecond*float64(time.Second)))
 	}
-	r.at(r.now.Add(took), func() {
-		r.loading--
-		r.permits.Release()
-		r.carryOut(w, w.state.Loaded(r.now, a.Ref, nil))
-		r.grant()
+	sim.schedule(sim.now.Add(duration), func() {
+		sim.activeLoads--
+		sim.permitQueue.Release()
+		sim.execute(w, w.state.Loaded(sim.now, a.Ref, nil))
+		sim.grantPermits()
 	})
 }
 
-func (r *run) tick() {
-	for _, w := range r.workers {
-		w.reported = w.running + w.state.Waiting()
-		r.carryOut(w, w.state.Tick(r.now))
+// tick updates the reported requests and lets each owner make its periodic decisions.
+func (sim *simulation) tick() {
+	for _, w := range sim.workers {
+		w.reportedRequests = w.runningRequests + w.state.Waiting()
+		sim.execute(w, w.state.Tick(sim.now))
 	}
 }
 
-// turn carries out what happens half-way.
-func (r *run) turn() {
-	switch r.scenario.Turn {
+// applyDisturbance applies the disturbance of the scenario, half-way through it, to the store or the engines. drawRequests
+// applies disturbances of the load.
+func (sim *simulation) applyDisturbance() {
+	switch sim.scenario.Disturbance {
 	case TurnSlowStore:
-		r.slow = true
+		sim.storeSlow = true
 	case TurnRestart:
 		const third = 3
-		for _, w := range slices.Clone(r.workers)[:max(1, len(r.workers)/third)] {
-			r.carryOut(w, w.state.Restarted(r.now))
+		for _, w := range slices.Clone(sim.workers)[:max(1, len(sim.workers)/third)] {
+			sim.execute(w, w.state.Restarted(sim.now))
 		}
 	default:
 	}
--- a/internal/policybench/scenario.go
+++ b/internal/policybench/scenario.go
@@ -1,5 +1,5 @@
-// Package policybench runs the decisions of bellgap in virtual time against a small fake engine, beside simpler policies.
-// The decisions are the daemon's own code: placement, owner.State and loads.Queue.
+// Package policybench compares the decisions of bellgap with simpler policies, in virtual time and with simulated engines.
+// bellgap's decisions are made by the daemon's own code: placement, owner.State and loads.Queue.
 package policybench
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// Turn is what happens half-way through a scenario.
+// Turn is a disturbance half-way through a scenario.
 type Turn string
 
-// The turns.
+// The disturbances.
 const (
 	TurnNone      Turn = "steady"
 	TurnHotSet    Turn = "hot set moves"
@@ -27,108 +27,114 @@
 	TurnOverload  Turn = "twice the load"
 )
 
-// Scenario is a workload and the engines before it.
+// Scenario describes a workload and the engines that serve it.
 type Scenario struct {
 	Name string
-	// Engines serve Models base models in turn.
+	// Engines is the number of engines, Models the number of base models. Each engine serves one base model, assigned in
+	// rotation.
 	Engines, Models int
 	Slots, Batch    int
-	// Step is the time of a token; Tokens the mean length of an answer.
+	// Step is the time to generate a token, Tokens the mean length of a response.
 	Step   time.Duration
 	Tokens int
-	// Adapters are spread evenly over the base models; their use follows a Zipf law with exponent Skew.
+	// Adapters is the number of adapters, evenly distributed over the base models. Their popularity follows Zipf's law with
+	// the exponent Skew.
 	Adapters int
 	Skew     float64
-	// Rate is the mean of requests a second, of which Night are not urgent.
-	Rate  float64
-	Night float64
-	// Budget and LoadTime describe the weight store.
+	// Rate is the mean number of requests per second, NonUrgentShare the share of them that is not urgent.
+	Rate           float64
+	NonUrgentShare float64
+	// Budget is the limit on loads from the weight store, LoadTime the duration of a load.
 	Budget   loads.Budget
 	LoadTime time.Duration
-	// Wait and NightWait are the longest useful waits for a start.
-	Wait, NightWait time.Duration
-	Length          time.Duration
-	Turn            Turn
-	// Pack weighs the fill of steps above the start of work that is not urgent.
+	// UrgentWait and NonUrgentWait are the maximum times that requests may wait for their start.
+	UrgentWait, NonUrgentWait time.Duration
+	Length                    time.Duration
+	Disturbance               Turn
+	// Pack gives full steps priority over an early start of requests that are not urgent.
 	Pack bool
 }
 
-// Downs returns the first co-operative's size with a turn. Rates, slots and lengths of answers are assumptions.
+// Downs returns a scenario of the size of the first co-operative, with a disturbance. Its rates, slots and lengths of responses
+// are assumptions.
 func Downs(turn Turn) Scenario {
 	return Scenario{
 		Name: "Downs, " + string(turn), Engines: 15, Models: 2, Slots: 8, Batch: 16, Step: 40 * time.Millisecond, Tokens: 120,
-		Adapters: 5000, Skew: 1, Rate: 5, Night: 0.3, Budget: loads.Budget{PerSecond: 3, AtOnce: 2}, LoadTime: 600 * time.Millisecond,
-		Wait: 10 * time.Second, NightWait: 10 * time.Minute, Length: time.Hour, Turn: turn,
+		Adapters: 5000, Skew: 1, Rate: 5, NonUrgentShare: 0.3, Budget: loads.Budget{PerSecond: 3, AtOnce: 2}, LoadTime: 600 * time.Millisecond,
+		UrgentWait: 10 * time.Second, NonUrgentWait: 10 * time.Minute, Length: time.Hour, Disturbance: turn,
 	}
 }
 
-// Lima returns the second co-operative's size with a turn: more load on fewer adapters, half of it nightly.
+// Lima returns a scenario of the size of the second co-operative, with a disturbance. Its load is higher than that of Downs and
+// concentrated on fewer adapters. Half of it is nightly work, which is not urgent.
 func Lima(turn Turn) Scenario {
 	s := Downs(turn)
-	s.Name, s.Engines, s.Rate, s.Night, s.Skew = "Lima, "+string(turn), 16, 12, 0.5, 1.2
+	s.Name, s.Engines, s.Rate, s.NonUrgentShare, s.Skew = "Lima, "+string(turn), 16, 12, 0.5, 1.2
 	s.Budget.AtOnce, s.Pack = 10, true
 	return s
 }
 
-// request is one arrival.
+// request is a request that arrives arrivalOffset after the start of the scenario.
 type request struct {
-	at     time.Duration
-	ref    resource.Ref
-	model  int
-	urgent bool
-	tokens int
+	arrivalOffset time.Duration
+	ref           resource.Ref
+	modelIndex    int
+	urgent        bool
+	tokens        int
 }
 
-// requests draws the arrivals of a scenario from a seed; every policy is given the same ones.
-func (s Scenario) requests(seed uint64) []request {
+// drawRequests generates the random requests of a scenario. The same seed gives the same requests, so all policies are compared
+// on the same load.
+func (s Scenario) drawRequests(seed uint64) []request {
 	r := rand.New(rand.NewPCG(seed, 7))
-	pick := zipf(r, s.Adapters, s.Skew)
-	var all []request
+	nextRank := newZipfRanks(r, s.Adapters, s.Skew)
+	var requests []request
 	rate := s.Rate
-	for at := time.Duration(0); at < s.Length; {
-		turned := at >= s.Length/2
-		if turned && s.Turn == TurnOverload {
+	for offset := time.Duration(0); offset < s.Length; {
+		secondHalf := offset >= s.Length/2
+		if secondHalf && s.Disturbance == TurnOverload {
 			rate = 2 * s.Rate
 		}
-		at += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
-		rank := pick()
+		offset += time.Duration(r.ExpFloat64() / rate * float64(time.Second))
+		rank := nextRank()
 		switch {
-		case turned && s.Turn == TurnHotSet:
+		case secondHalf && s.Disturbance == TurnHotSet:
 			rank = (rank + s.Adapters/2) % s.Adapters
-		case turned && s.Turn == TurnFlash && r.IntN(4) == 0:
+		case secondHalf && s.Disturbance == TurnFlash && r.IntN(4) == 0:
 			rank = s.Adapters - 1
 		}
-		all = append(all, request{
-			at: at, ref: resource.Ref{Adapter: fmt.Sprintf("adapter-%05d", rank), Version: "1"}, model: rank % s.Models,
-			urgent: r.Float64() >= s.Night, tokens: 1 + int(r.ExpFloat64()*float64(s.Tokens)),
+		requests = append(requests, request{
+			arrivalOffset: offset, ref: resource.Ref{Adapter: fmt.Sprintf("adapter-%05d", rank), Version: "1"}, modelIndex: rank % s.Models,
+			urgent: r.Float64() >= s.NonUrgentShare, tokens: 1 + int(r.ExpFloat64()*float64(s.Tokens)),
 		})
 	}
-	return all
+	return requests
 }
 
-// zipf returns a source of ranks 0..n-1 with probability proportional to 1/(rank+1)^s.
-func zipf(r *rand.Rand, n int, s float64) func() int {
-	sum := make([]float64, n)
+// newZipfRanks returns a function that draws random ranks from 0 to count-1. The probability of a rank is proportional to
+// 1/(rank+1)^exponent.
+func newZipfRanks(r *rand.Rand, count int, exponent float64) func() int {
+	cumulative := make([]float64, count)
 	total := 0.0
-	for i := range sum {
-		total += math.Pow(float64(i+1), -s)
-		sum[i] = total
+	for i := range cumulative {
+		total += math.Pow(float64(i+1), -exponent)
+		cumulative[i] = total
 	}
-	return func() int { return sort.SearchFloat64s(sum, r.Float64()*total) }
+	return func() int { return sort.SearchFloat64s(cumulative, r.Float64()*total) }
 }
 
-// nextUse tells when an adapter is asked for again, for the clairvoyant bound.
-func nextUse(all []request) func(ref resource.Ref, now time.Duration) time.Duration {
+// indexNextUses returns a function that returns the time of the next request for an adapter. The clairvoyant bound uses it.
+func indexNextUses(requests []request) func(ref resource.Ref, now time.Duration) time.Duration {
 	uses := map[resource.Ref][]time.Duration{}
-	for _, q := range all {
-		uses[q.ref] = append(uses[q.ref], q.at)
+	for _, req := range requests {
+		uses[req.ref] = append(uses[req.ref], req.arrivalOffset)
 	}
 	return func(ref resource.Ref, now time.Duration) time.Duration {
-		u := uses[ref]
-		i, _ := slices.BinarySearch(u, now+1)
-		if i == len(u) {
+		offsets := uses[ref]
+		i, _ := slices.BinarySearch(offsets, now+1)
+		if i == len(offsets) {
 			return math.MaxInt64
 		}
-		return u[i]
+		return offsets[i]
 	}
 }
