--- a/internal/policybench/event.go
+++ b/internal/policybench/event.go
@@ -7,7 +7,7 @@
 // virtualStart is the start of virtual time.
 var virtualStart = time.Unix(1_000_000, 0)
 
-// event is an action at a virtual time. Events of the same time take place in ascending order.
+// event is an action at a virtual time. Events at the same time run in the sequence of their order fields.
 type event struct {
 	at     time.Time
 	order  int
