--- a/internal/cli/bench.go
+++ b/internal/cli/bench.go
@@ -25,8 +25,8 @@
 }
 
 func runBench(_ context.Context, cmd *cli.Command) error {
-	turns := []policybench.Turn{
-		policybench.TurnNone, policybench.TurnHotSet, policybench.TurnFlash, policybench.TurnRestart, policybench.TurnSlowStore, policybench.TurnOverload,
+	turns := []policybench.Disturbance{
+		policybench.DisturbanceNone, policybench.DisturbanceHotSetShift, policybench.DisturbanceFlashCrowd, policybench.DisturbanceEngineRestart, policybench.DisturbanceSlowStore, policybench.DisturbanceOverload,
 	}
 	if cmd.Bool("steady") {
 		turns = turns[:1]
@@ -51,5 +51,5 @@
 	if _, err := fmt.Fprintf(cmd.Root().Writer, "Seed %d, an hour of virtual time each, the turn half-way.\n\n", cmd.Uint64("seed")); err != nil {
 		return err
 	}
-	return policybench.Write(cmd.Root().Writer, results)
+	return policybench.WriteTable(cmd.Root().Writer, results)
 }
--- a/internal/cli/fake.go
+++ b/internal/cli/fake.go
@@ -83,13 +83,13 @@
 func runFakeEngine(ctx context.Context, cmd *cli.Command) error {
 	cfg := fakeengine.Config{
 		Name: cmd.String("name"), Slots: cmd.Int("slots"), Batch: cmd.Int("batch"), Step: cmd.Duration("step"),
-		ReportLag: cmd.Duration("report-lag"), ChecksOrders: !cmd.Bool("unchecked"),
+		ReportLag: cmd.Duration("report-lag"), ChecksEpochs: !cmd.Bool("unchecked"),
 	}
 	if store := cmd.String("store"); store != "" {
 		cfg.Fetch = newWeightFetcher(store)
 	}
 	e := fakeengine.New(cfg)
-	e.SetFaults(fakeengine.Faults{Rate: cmd.String("rate"), Leaving: cmd.Bool("leaving"), Rest: cmd.String("rest")})
+	e.SetFaults(fakeengine.Faults{RateLimit: cmd.String("rate"), Leaving: cmd.Bool("leaving"), RetryAfter: cmd.String("rest")})
 	return serveFake(ctx, cmd, e.Handler())
 }
 
@@ -115,13 +115,13 @@
 
 func runFakeStore(ctx context.Context, cmd *cli.Command) error {
 	return serveFake(ctx, cmd, fakestore.New(fakestore.Config{
-		PerSecond: cmd.Float("per-second"), AtOnce: cmd.Int("at-once"), LoadTime: cmd.Duration("load-time"),
+		PerSecond: cmd.Float("per-second"), MaxFullSpeedLoads: cmd.Int("at-once"), LoadTime: cmd.Duration("load-time"),
 	}).Handler())
 }
 
 func runFakeService(ctx context.Context, cmd *cli.Command) error {
 	s := fakeservice.New(cmd.String("name"))
-	s.SetFaults(fakeservice.Faults{Rate: cmd.String("rate"), Leaving: cmd.Bool("leaving"), Rest: cmd.String("rest")})
+	s.SetFaults(fakeservice.Faults{RateLimit: cmd.String("rate"), Leaving: cmd.Bool("leaving"), RetryAfter: cmd.String("rest")})
 	return serveFake(ctx, cmd, s.Handler())
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -76,7 +76,7 @@
 		store := fakeplatform.New()
 		a, b := newLease(store, "a"), newLease(store, "b")
 		c.Assert(a.Refresh(ctx), qt.IsNil)
-		store.SetFaults(fakeplatform.Faults{LoseAnswers: 2})
+		store.SetFaults(fakeplatform.Faults{DropResponses: 2})
 		c.Assert(a.Acquire(ctx), qt.IsNil)
 		c.Assert(a.Renew(ctx), qt.IsNil)
 		c.Check(a.IsHeld(time.Now()), qt.IsTrue)
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -200,7 +200,7 @@
 	case 5:
 		n.setDisconnected(false, false)
 	case 6:
-		cl.platform.SetFaults(fakeplatform.Faults{Down: r.IntN(2) == 0, LoseAnswers: r.IntN(4), Delay: time.Duration(r.IntN(1000)) * time.Millisecond})
+		cl.platform.SetFaults(fakeplatform.Faults{Down: r.IntN(2) == 0, DropResponses: r.IntN(4), Delay: time.Duration(r.IntN(1000)) * time.Millisecond})
 	case 7:
 		cl.platform.SetFaults(fakeplatform.Faults{})
 	case 8:
--- a/internal/member/restore_test.go
+++ b/internal/member/restore_test.go
@@ -25,7 +25,7 @@
 					cl.startBox("box-005", 5)
 					cl.advance(snapshotAge)
 					cl.killBox("box-001")
-					cl.platform.Rewind(backup)
+					cl.platform.RestoreInNewEra(backup)
 					cl.advance(nextFaultDelay)
 					cl.killBox("box-002")
 					cl.startBox("box-006", 6)
@@ -52,7 +52,7 @@
 				owners := cl.ownerByEngine()
 				backup := cl.platform.Snapshot()
 				cl.advance(snapshotAge)
-				cl.platform.Rewind(backup)
+				cl.platform.RestoreInNewEra(backup)
 				for range 120 {
 					cl.advance(100 * time.Millisecond)
 					cl.c.Check(cl.countOwned(), qt.Equals, len(cl.engines))
--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -75,7 +75,7 @@
 	entryCount atomic.Int64
 
 	mu       sync.Mutex
-	logLimit logline.Limit
+	logLimit logline.RateLimiter
 	// leaving holds the endpoints that are leaving and paused the endpoints that requested a pause, both by name.
 	leaving map[string]leavingEntry
 	paused  map[string]pausedEntry
@@ -121,7 +121,7 @@
 // NewBoard returns an empty Board.
 func NewBoard(cfg BoardConfig) *Board {
 	return &Board{
-		cfg: cfg, recentlyInvalid: recent.New[string](invalidLogInterval), logLimit: logline.Limit{Most: maxLogLines},
+		cfg: cfg, recentlyInvalid: recent.New[string](invalidLogInterval), logLimit: logline.RateLimiter{MaxPerSecond: maxLogLines},
 		leaving: map[string]leavingEntry{}, paused: map[string]pausedEntry{},
 	}
 }
--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -83,7 +83,7 @@
 	// lastPruned is the time of the latest removal of expired entries.
 	lastPruned time.Time
 	// logLimit limits the log lines about rate changes.
-	logLimit logline.Limit
+	logLimit logline.RateLimiter
 	// retrySchedules contains the schedule for refused requests of each service.
 	retrySchedules map[string]*retrySchedule
 }
@@ -108,7 +108,7 @@
 
 // NewRegistry returns a Registry without any reports.
 func NewRegistry(cfg RegistryConfig) *Registry {
-	return &Registry{cfg: cfg, recentlyIgnored: recent.New[string](ignoredLogInterval), entries: map[string]*entry{}, retrySchedules: map[string]*retrySchedule{}, logLimit: logline.Limit{Most: maxLinesPerSecond}}
+	return &Registry{cfg: cfg, recentlyIgnored: recent.New[string](ignoredLogInterval), entries: map[string]*entry{}, retrySchedules: map[string]*retrySchedule{}, logLimit: logline.RateLimiter{MaxPerSecond: maxLinesPerSecond}}
 }
 
 // HasReports reports whether the Registry contains at least one endpoint.
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -115,7 +115,7 @@
 		restore func(*fakeplatform.Store, objects.Changes)
 	}{
 		{"revisions-go-back", (*fakeplatform.Store).Restore},
-		{"new-era", (*fakeplatform.Store).Rewind},
+		{"new-era", (*fakeplatform.Store).RestoreInNewEra},
 	} {
 		t.Run(test.name, func(t *testing.T) { checkRestore(t, test.restore) })
 	}
@@ -207,7 +207,7 @@
 
 func TestWriteWithLostAnswerSucceeds(t *testing.T) {
 	runInVirtualTime(t, 1, func(r *harness) {
-		r.platform.SetFaults(fakeplatform.Faults{LoseAnswers: 1})
+		r.platform.SetFaults(fakeplatform.Faults{DropResponses: 1})
 		r.c.Check(r.putPriority(r.boxes[0], 7, ""), qt.Equals, result.OK)
 		r.advance(3 * time.Second)
 		r.c.Check(r.boxes[0].lastUrgency, qt.Equals, 7)
