--- a/internal/owner/action.go
+++ b/internal/owner/action.go
@@ -59,8 +59,8 @@
 	Err    *result.Error
 }
 
-// RequestPermit requests a permit for one load from the weight store's budget. State may use the granted permit for another adapter
-// that has become more urgent by then.
+// RequestPermit requests a permit for one load from the weight store's budget. State may use the granted permit for another
+// adapter that has become more urgent by then.
 type RequestPermit struct {
 	Ref     resource.Ref
 	Urgency int
--- a/internal/owner/loading.go
+++ b/internal/owner/loading.go
@@ -8,7 +8,8 @@
 	"github.com/bellgap/bellgap/internal/resource"
 )
 
-// PermitGranted handles the permit requested for ref. The permit is used for the most urgent load, which may be for another adapter.
+// PermitGranted handles the permit requested for ref. The permit is used for the most urgent load, which may be for another
+// adapter.
 func (s *State) PermitGranted(now time.Time, ref resource.Ref) []Action {
 	delete(s.permitRequests, ref)
 	t, ok := s.mostUrgentMissing(now)
@@ -69,8 +70,8 @@
 	s.emit(l)
 }
 
-// FinishUnload handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported that
-// it does not have the adapter.
+// FinishUnload handles the result of an Unload. After a failure the adapter still counts as loaded, unless the engine reported
+// that it does not have the adapter.
 func (s *State) FinishUnload(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != unloading {
@@ -103,13 +104,15 @@
 	return s.schedule(now)
 }
 
-// isNotFound reports whether the order was refused because its target, the adapter or the engine instance, does not exist.
+// isNotFound reports whether the order was refused because its target does not exist: the adapter is not on the
+// engine, or another engine now has the address.
 func isNotFound(err error) bool {
 	var refused *engine.OrderRefusedError
 	return errors.As(err, &refused) && refused.Type == engine.RefusalNotFound
 }
 
-// FinishLoad handles the result of a Load. On failure the waiting tickets are refused and the adapter enters backoff.
+// FinishLoad handles the result of a Load. After a failure the adapter enters backoff, and the tickets that wait for it are
+// refused.
 func (s *State) FinishLoad(now time.Time, ref resource.Ref, err error) []Action {
 	sl := s.slots[ref]
 	if sl == nil || sl.phase != loading {
--- a/internal/owner/loading_test.go
+++ b/internal/owner/loading_test.go
@@ -91,8 +91,8 @@
 	c.Check(loads[0].Ref, qt.Equals, ref(2))
 }
 
-// TestFailedUnloadIsRetriedWithDelay checks that a failed unload is repeated only a few times per second. On a box without
-// authority each order fails immediately, so that a repetition without delay would be a busy loop.
+// TestFailedUnloadIsRetriedWithDelay checks that a failed unload is retried only a few times per second. On a box without
+// authority each order fails immediately, so that retries without delay would be a busy loop.
 func TestFailedUnloadIsRetriedWithDelay(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/owner/order.go
+++ b/internal/owner/order.go
@@ -64,7 +64,7 @@
 
 var errNoAuthority = errors.New("owner: no authority to send orders")
 
-// sendOrder sends one order to the engine and retries it after a failure. Repeating an order is safe: engines report success for
+// sendOrder sends one order to the engine and retries it after a failure. Retrying an order is safe: engines report success for
 // a load of a loaded adapter and for an unload of an adapter that they do not have.
 func (r *Runner) sendOrder(ctx context.Context, o engine.Order) error {
 	var err error
--- a/internal/owner/queue.go
+++ b/internal/owner/queue.go
@@ -40,7 +40,7 @@
 		s.refuse(t, result.New(result.NotOwner, "the engine is being handed over"))
 		return
 	}
-	s.refuse(t, result.New(result.TryNext, "the engine's box is leaving"))
+	s.refuse(t, result.New(result.TryNext, "the engine accepts no new requests now"))
 }
 
 // isCrowded reports whether the caller should try its next engine. This is so if no slot can be freed for the ticket's adapter,
--- a/internal/owner/rate.go
+++ b/internal/owner/rate.go
@@ -37,7 +37,7 @@
 	return err
 }
 
-// returnRate returns the share of the rate limit that was counted for a ticket that will not run.
+// returnRate removes a ticket that will not run from the count against the rate limit.
 func (s *State) returnRate(t Ticket) {
 	if t.countedInRate {
 		s.rateLimiter.GiveBack()
--- a/internal/owner/rate_test.go
+++ b/internal/owner/rate_test.go
@@ -22,7 +22,7 @@
 	return s
 }
 
-// localTicket returns a ticket that requires an adapter without a load from the weight store.
+// localTicket returns a ticket that is refused if its adapter would have to be loaded from the weight store.
 func localTicket(now time.Time, id uint64, adapter string) Ticket {
 	return Ticket{
 		ID: id, Ref: resource.Ref{Adapter: adapter, Version: "1"}, Arrived: now, StartBy: now.Add(time.Second),
@@ -60,8 +60,8 @@
 }
 
 // TestRateLimitRestrictsStoreLoads checks which requests an engine with a rate limit admits if their adapter has to be loaded
-// from the weight store. It offers to start the request (TryNext with an expected wait) if no other engine can start it, or if
-// the rate is unused. It queues the request if this engine is the caller's last.
+// from the weight store. The engine offers to start the request (TryNext with an expected wait) if no other engine can start it,
+// or if the rate is unused. The engine queues the request if the caller tries no other engine after it.
 func TestRateLimitRestrictsStoreLoads(t *testing.T) {
 	c := qt.New(t)
 	s := stateWithRate(1)
--- a/internal/owner/report.go
+++ b/internal/owner/report.go
@@ -14,8 +14,8 @@
 // incarnation means that the engine has restarted and is empty. Later reports correct differences that persist.
 func (r *Runner) handleReport(now time.Time, rep engine.Report) []Action {
 	if rate := rep.Notice.Rate; rate.Limited {
-		// The start time from discovery is used, as for rates in answers. A start time that is not known here yet would take precedence
-		// over all rates received for the current instance.
+		// Use the start time from discovery, as for rates in answers. A start time that discovery does not show yet would take
+		// precedence over all rate limits received for the incarnation that discovery shows.
 		rate.Started = r.cfg.Engine.Started
 		r.state.UpdateRate(now, &rate)
 	}
@@ -79,8 +79,8 @@
 	return []Action{LoadBase{}}
 }
 
-// updateClosed closes the state, so that waiting tickets go to other engines, if there is a reason to, and otherwise opens it
-// again.
+// updateClosed closes the state while at least one reason to do so applies, and otherwise opens it. Closing the state sends the
+// waiting tickets to other engines.
 func (r *Runner) updateClosed(now time.Time) []Action {
 	return r.state.SetClosed(now, r.boxLeaving || r.engineLeaving || r.baseMissing || r.engineGone)
 }
--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -136,7 +136,7 @@
 	Frozen bool `json:"frozen,omitempty"`
 	// Leaving is true if the engine has announced that it is leaving.
 	Leaving bool `json:"left,omitempty"`
-	// RateRefused is the number of requests refused because of the engine's rate limit, since the engine set one.
+	// RateRefused is the number of requests refused because of the engine's rate limit, since the engine reported one.
 	RateRefused int `json:"rate_refused,omitempty"`
 }
 
@@ -200,15 +200,15 @@
 // Rate returns the engine's rate limit, or nil if it has none.
 func (r *Runner) Rate() *ratelimit.Report { return r.rate.Load() }
 
-// RecordLeaving records that the engine has announced that it is leaving. It gets no new requests or orders until it
-// restarts.
+// RecordLeaving records that the engine has announced that it is leaving. Until the engine restarts, it gets no new
+// requests, and no further adapter loads are requested for it.
 func (r *Runner) RecordLeaving() { r.post(leaveNoticeReceived{}) }
 
 // IsLeaving reports whether the engine has announced that it is leaving.
 func (r *Runner) IsLeaving() bool { return r.publishedLeaving.Load() }
 
-// SetBoxLeaving sets whether the engine's box is leaving. While it is, waiting and new requests are refused so that they go to
-// other engines.
+// SetBoxLeaving sets whether the engine's box is leaving. While the box is leaving, waiting and new requests are refused so that
+// they go to other engines.
 func (r *Runner) SetBoxLeaving(leaving bool) { r.post(boxLeavingChanged{leaving}) }
 
 // Request describes a request for Acquire.
@@ -228,8 +228,8 @@
 	MaxWait time.Duration
 	// LocalOnly requests a refusal if the adapter would have to be loaded from the weight store. It requires a positive MaxWait.
 	LocalOnly bool
-	// OthersTooSlow is true if none of the engines tried before can start the request in time. It only affects engines that have a rate
-	// limit or lack their base model.
+	// OthersTooSlow is true if none of the engines tried before can start the request in time. It only affects engines that have a
+	// rate limit or lack their base model.
 	OthersTooSlow bool
 	// Customer sent the request.
 	Customer string
@@ -365,8 +365,8 @@
 	switch e := e.(type) {
 	case ticketSubmitted:
 		if r.engineLeaving {
-			// The separate result code keeps the caller from retrying this engine, as it would retry an engine that is temporarily
-			// without an owner or busy. All retries would fail.
+			// This result code tells the caller not to retry this engine, since all retries would fail. Other codes, such as those
+			// for a busy engine or a missing owner, allow retries.
 			e.reply <- decision{err: result.New(result.EndpointLeaving, "%s", r.cfg.Name)}
 			return nil
 		}
--- a/internal/owner/runner_test.go
+++ b/internal/owner/runner_test.go
@@ -19,7 +19,7 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// replacedEngine is a client of an engine whose address belongs to another instance while replaced is set.
+// replacedEngine is a client of an engine whose address belongs to another engine while replaced is set.
 type replacedEngine struct{ replaced atomic.Bool }
 
 // SendOrder refuses orders while the engine is replaced.
@@ -33,7 +33,7 @@
 // Report fails while the engine is replaced.
 func (e *replacedEngine) Report(context.Context, engine.Target) (engine.Report, error) {
 	if e.replaced.Load() {
-		return engine.Report{}, errors.New("report of another instance")
+		return engine.Report{}, errors.New("report of another engine")
 	}
 	return engine.Report{Incarnation: "e", BaseModels: []string{"base"}}, nil
 }
--- a/internal/owner/state.go
+++ b/internal/owner/state.go
@@ -139,8 +139,8 @@
 	runningTokens    int
 	prefill          *prefillTracker
 	recentlyUnloaded recentAdapters
-	// rateLimiter enforces the engine's rate limit. Each request to the engine needs a grant from its owner anyway, so that
-	// enforcing the limit here needs no extra messages, and the limit also applies to boxes that do not know it.
+	// rateLimiter enforces the engine's rate limit. Each request to the engine needs a grant from its owner anyway. Enforcing the
+	// limit here therefore needs no extra messages, and the limit also applies to boxes that do not know it.
 	rateLimiter ratelimit.Limiter
 	// unloadFrom is the earliest time of the next unload after a failed unload.
 	unloadFrom time.Time
@@ -195,7 +195,8 @@
 	return s.schedule(now)
 }
 
-// ResetAfterRestart removes all loaded adapters, because the engine has restarted and is empty.
+// ResetAfterRestart removes all loaded adapters, the cached prompt parts and the rate limit, because the engine has restarted
+// and is empty.
 func (s *State) ResetAfterRestart(now time.Time) []Action {
 	for ref, sl := range s.slots {
 		if sl.phase == loaded {
@@ -316,7 +317,7 @@
 	s.closed = closed
 	if closed {
 		s.retainWaiting(func(t Ticket) bool {
-			s.refuse(t, result.New(result.TryNext, "the engine's box is leaving"))
+			s.refuse(t, result.New(result.TryNext, "the engine accepts no new requests now"))
 			return false
 		})
 	}
