--- a/internal/grant/alive.go
+++ b/internal/grant/alive.go
@@ -11,8 +11,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// AcquireWithKeepalive waits for a grant on behalf of another box. While it waits, it sends an informational response to that box once
-// per interval, to show that this box is alive.
+// AcquireWithKeepalive waits for a grant on behalf of another box. While it waits, it sends an informational response to that box
+// once per interval, to show that this box is alive.
 func AcquireWithKeepalive(
 	ctx context.Context, w http.ResponseWriter, runner *owner.Runner, q owner.Request, interval time.Duration,
 ) (*owner.Grant, *result.Error) {
--- a/internal/grant/client.go
+++ b/internal/grant/client.go
@@ -25,10 +25,10 @@
 
 const (
 	// keepaliveTimeout is the longest time without a response or keepalive from an owner. A round trip between zones takes 2 to 3
-	// ms, so a box that sends nothing for this long is overloaded, frozen, disconnected, or gone.
+	// ms, so a box that sends nothing for this long is overloaded, suspended, disconnected, or gone.
 	keepaliveTimeout = 180 * time.Millisecond
-	// updateBufferSize limits the number of updates that wait to be sent. If the end of a grant is lost, the grant expires at the
-	// owner.
+	// updateBufferSize limits the number of updates that wait to be sent. Further updates are dropped. If the end of a grant is
+	// dropped, the grant expires at the owner.
 	updateBufferSize = 4096
 	// updateInterval is the time over which updates are collected into one call per owner.
 	updateInterval = 25 * time.Millisecond
@@ -106,24 +106,25 @@
 		return nil, result.New(result.OwnerSilent, "%v", err)
 	}
 	defer httpx.Drain(resp.Body)
-	if w := RateFromHeader(resp.Header); w != nil {
-		c.cfg.Rates.Record(clock.Now(), request.Engine, *w)
+	if report := RateFromHeader(resp.Header); report != nil {
+		c.cfg.Rates.Record(clock.Now(), request.Engine, *report)
 	}
 	return c.readAnswer(resp, address)
 }
 
-// RateFromHeader returns the engine's rate limit from the response header of its owner, or nil if the header is missing or invalid.
+// RateFromHeader returns the engine's rate limit from the response header of its owner, or nil if the header is missing or
+// invalid.
 func RateFromHeader(h http.Header) *ratelimit.Report {
 	encoded := h.Get(headerRate)
 	if encoded == "" {
 		return nil
 	}
-	w := &ratelimit.Report{}
-	if err := json.Unmarshal([]byte(encoded), w); err != nil {
+	report := &ratelimit.Report{}
+	if err := json.Unmarshal([]byte(encoded), report); err != nil {
 		klog.ErrorS(err, "invalid rate limit in the response of an engine owner; ignored")
 		return nil
 	}
-	return w
+	return report
 }
 
 // QueueRate queues the rate limit that an engine reported, to be sent to its owner at address.
--- a/internal/grant/client_test.go
+++ b/internal/grant/client_test.go
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestEndsAreSentTogether ends five grants from one owner. The owner must receive all ends, which the client may combine in messages.
+// TestEndsAreSentTogether ends five grants from one owner. The owner must receive all ends. The client may combine several ends
+// in one message.
 func TestEndsAreSentTogether(t *testing.T) {
 	c := qt.New(t)
 	type endMessage struct {
--- a/internal/grant/message.go
+++ b/internal/grant/message.go
@@ -1,5 +1,5 @@
-// Package grant requests permission from the owner of an engine, which may run on another box, to send one request to the engine.
-// The request itself does not pass through the owner, so it cannot have run before the grant has arrived.
+// Package grant lets a box ask the owner of an engine, which may be another box, for permission to send one request to the
+// engine. The request itself does not pass through the owner, so it cannot have run before the grant has arrived.
 package grant
 
 import (
@@ -31,7 +31,7 @@
 	LocalOnly bool `json:"near,omitempty"`
 	// OthersTooSlow is true if no engine that was tried before can start the request in time.
 	OthersTooSlow bool `json:"pressed,omitempty"`
-	// Hold is the longest time that the grant is valid. The owner then treats the request as ended.
+	// Hold is the longest time that the grant is valid. After that time the owner treats the request as broken off.
 	Hold time.Duration `json:"hold"`
 	// Last is true if no other engine will be tried after this one.
 	Last   bool `json:"last,omitempty"`
@@ -39,9 +39,9 @@
 	Output int  `json:"output,omitempty"`
 	// Parts are the parts of the prompt that other requests may share, in order.
 	Parts []owner.PromptPart `json:"parts,omitempty"`
-	// Customer owns the request.
+	// Customer sent the request.
 	Customer string `json:"customer,omitempty"`
-	// Rate is the engine's limit of requests per second that the requesting box knows.
+	// Rate is the engine's rate limit as the requesting box knows it.
 	Rate *ratelimit.Report `json:"rate,omitempty"`
 }
 
@@ -74,7 +74,7 @@
 	Ends []grantEnd `json:"ends"`
 	// FirstTokens are the IDs of the grants whose requests have produced their first token.
 	FirstTokens []uint64 `json:"read,omitempty"`
-	// Rates are the limits of requests per second that engines sent with their responses.
+	// Rates are the rate limits that engines reported with their responses.
 	Rates []engineRate `json:"rates,omitempty"`
 }
 
--- a/internal/grant/process_test.go
+++ b/internal/grant/process_test.go
@@ -9,10 +9,10 @@
 	"github.com/bellgap/bellgap/internal/owner"
 )
 
-// TestEndFromPreviousProcessIsIgnored guards against an end message that releases the grant of another request. The message is
-// sent to the address of the box that granted the request, where a new process may run by now. When each process numbered its
-// grants from one, the message released the new process's grant with the same number.
-func TestEndFromPreviousProcessIsIgnored(t *testing.T) {
+// TestEndFromPreviousIncarnationIsIgnored guards against an end message that releases the grant of another request. The message
+// is sent to the address of the box that granted the request, where a new incarnation of the box may run by now. When each
+// incarnation numbered its grants from one, the message released the new incarnation's grant with the same number.
+func TestEndFromPreviousIncarnationIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	previous, current := NewServer(ServerConfig{}), NewServer(ServerConfig{})
 	const grants = 100
--- a/internal/grant/server.go
+++ b/internal/grant/server.go
@@ -18,7 +18,7 @@
 
 const (
 	// keepaliveInterval is the time between two keepalive responses to a box that waits for a grant. It is a third of
-	// keepaliveTimeout, after which that box gives up.
+	// keepaliveTimeout, after which that box stops waiting.
 	keepaliveInterval = 60 * time.Millisecond
 	// maxMessageBytes limits the size of a received message.
 	maxMessageBytes = 64 << 10
@@ -47,8 +47,8 @@
 	expiry *time.Timer
 }
 
-// NewServer returns a Server. Its grant IDs start at a random number: the end message for a grant from a previous process of this
-// box may still arrive at the same address, and must not release a grant from this process.
+// NewServer returns a Server. Its grant IDs start at a random number: the end message for a grant from a previous incarnation of
+// this box may still arrive at the same address, and must not release a grant from this incarnation.
 func NewServer(cfg ServerConfig) *Server {
 	return &Server{cfg: cfg, nextID: rand.Uint64(), held: map[uint64]*heldGrant{}}
 }
@@ -87,8 +87,8 @@
 	httpx.WriteJSON(w, http.StatusOK, acquireAnswer{ID: s.hold(g, req.Hold), Stalled: g.Stalled})
 }
 
-// SetRateHeader sets the response header that contains an engine's rate limit, unless w is nil. The requesting box uses the limit when
-// it can no longer reach this box.
+// SetRateHeader sets the response header that contains an engine's rate limit, unless report is nil. The requesting box uses
+// the limit when it can no longer reach this box.
 func SetRateHeader(h http.Header, report *ratelimit.Report) {
 	if report == nil {
 		return
