--- a/internal/loads/queue.go
+++ b/internal/loads/queue.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// maxBurstSeconds bounds the unused loads that may be saved up: at most as many as the rate allows in this many seconds, but one
-// in any case.
+// maxBurstSeconds limits the unused loads that may be saved up: at most as many as the rate allows in this many seconds, but
+// always at least one.
 const maxBurstSeconds = 1.0
 
-// QueuedRequest is a queued request.
+// QueuedRequest is a request in a Queue.
 type QueuedRequest struct {
 	ID      uint64
 	Request Request
@@ -27,9 +27,9 @@
 	waiting      []QueuedRequest
 }
 
-// NewQueue returns a Queue that allows one load immediately. It calls b for the current budget at each decision.
-func NewQueue(now time.Time, b func() Budget) *Queue {
-	return &Queue{budget: b, tokens: 1, lastRefill: now}
+// NewQueue returns a Queue that allows one load immediately. It calls budget for the current budget at each decision.
+func NewQueue(now time.Time, budget func() Budget) *Queue {
+	return &Queue{budget: budget, tokens: 1, lastRefill: now}
 }
 
 // Add inserts a request into the queue. The order is: higher urgency first, then earlier StartBy, then more waiters.
@@ -61,7 +61,8 @@
 	q.tokens++
 }
 
-// Next grants a permit to the first request in the queue and returns that request. It returns false if no permit can be granted now.
+// Next grants a permit to the first request in the queue and returns that request. It returns false if no permit can be granted
+// now.
 func (q *Queue) Next(now time.Time) (QueuedRequest, bool) {
 	q.refill(now)
 	if len(q.waiting) == 0 || q.runningLoads >= q.budget().MaxConcurrent || q.tokens < 1 {
@@ -74,8 +75,8 @@
 	return w, true
 }
 
-// TimeToNext returns the time until Next can grant a permit without a Release; zero or less means now. It returns false if no request
-// waits or if only a Release can free a permit.
+// TimeToNext returns the time until Next can grant a permit without a Release. Zero or less means now. It returns false if no
+// request waits or if only a Release can free a permit.
 func (q *Queue) TimeToNext(now time.Time) (time.Duration, bool) {
 	if len(q.waiting) == 0 || q.runningLoads >= q.budget().MaxConcurrent {
 		return 0, false
--- a/internal/places/keeper.go
+++ b/internal/places/keeper.go
@@ -1,7 +1,7 @@
-// Package places limits the requests that all boxes together send to each endpoint of a plain service to the number that the
-// endpoint can answer in time. For each endpoint one box at a time is the keeper, which counts the requests in progress. A box
-// must acquire a place from the keeper before it sends a request to the endpoint, and reports to the keeper when the request has
-// ended.
+// Package places limits the concurrent requests of all boxes to each endpoint of a plain service. An endpoint gets only as many
+// requests as it can answer in time. For each endpoint one box at a time is the keeper, which counts the requests in progress. A
+// box must acquire a place from the keeper before it sends a request to the endpoint, and reports to the keeper when the request
+// has ended.
 package places
 
 import (
@@ -21,7 +21,7 @@
 	serviceSmoothing = 0.05
 	// maxWait limits the wait before a refused request is retried.
 	maxWait = 2 * time.Second
-	// maxEndpoints is the number of endpoints in a Keeper from which on a new endpoint evicts the idle ones.
+	// maxEndpoints is the number of endpoints at which a Keeper evicts the idle ones before it adds another.
 	maxEndpoints = 4096
 	// maxHold is the longest time until a place expires whose request is never reported as ended.
 	maxHold = time.Minute
@@ -36,11 +36,11 @@
 	MaxLatency time.Duration `json:"within"`
 	// Hold is the longest duration of the request.
 	Hold time.Duration `json:"hold"`
-	// Urgency is higher for requests that take precedence. Customer owns the request.
+	// Urgency is higher for requests that take precedence. Customer sent the request.
 	Urgency  int    `json:"urgency,omitempty"`
 	Customer string `json:"customer,omitempty"`
-	// Started is the start time of the endpoint that the requesting box knows, in Unix milliseconds. Rate is the endpoint's rate
-	// limit that the requesting box knows.
+	// Started is the start time of the endpoint in Unix milliseconds, and Rate is its rate limit, both as the requesting box knows
+	// them.
 	Started int64             `json:"started,omitempty"`
 	Rate    *ratelimit.Report `json:"rate,omitempty"`
 }
@@ -66,7 +66,7 @@
 	ID       uint64 `json:"id"`
 	// Latency is the time until the response arrived. It is zero if no response arrived that shows the speed of the endpoint.
 	Latency time.Duration `json:"took,omitempty"`
-	// Rate is the endpoint's rate limit that the reporting box knows at the end of the request.
+	// Rate is the endpoint's rate limit as the reporting box knows it at the end of the request.
 	Rate *ratelimit.Report `json:"rate,omitempty"`
 }
 
@@ -86,8 +86,8 @@
 	serviceTime time.Duration
 	// retryTurns spreads the retries of refused requests over time.
 	retryTurns turn.RetrySchedule
-	// limiter enforces the requests per second that the endpoint reports as its limit. The keeper receives the limit in the Request
-	// and EndReport messages, so the limit needs no messages of its own. It also applies to boxes that don't know it.
+	// limiter enforces the rate limit that the endpoint reports. The keeper receives the limit in the Request and EndReport
+	// messages, so the limit needs no messages of its own. It also applies to boxes that don't know it.
 	limiter ratelimit.Limiter
 }
 
@@ -98,14 +98,14 @@
 	concurrency int
 }
 
-// NewKeeper returns a Keeper that numbers its places after firstID. Each process must use a different firstID: an EndReport for a
-// place that a previous process granted must not end a place that this process granted.
+// NewKeeper returns a Keeper that numbers its places after firstID. Each incarnation of a box must use a different firstID: an
+// EndReport for a place that a previous incarnation granted must not end a place that this incarnation granted.
 func NewKeeper(firstID uint64) *Keeper {
 	return &Keeper{nextID: firstID, endpoints: map[string]*endpointCount{}}
 }
 
-// Acquire grants a place if the endpoint has a free slot or its response is expected in time, and if its rate limit allows the
-// request.
+// Acquire grants a place if the endpoint's rate limit allows the request, and if the endpoint has a free slot or its response is
+// expected in time.
 func (k *Keeper) Acquire(now time.Time, req Request) Answer {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/places/keeper_test.go
+++ b/internal/places/keeper_test.go
@@ -140,7 +140,7 @@
 	c.Check(len(waits) > 60, qt.IsTrue, qt.Commentf("%d", len(waits)))
 }
 
-// TestKeeperInvariants generates place requests, ended requests, ends from other processes, and lost ends. No place may be
+// TestKeeperInvariants generates place requests, ended requests, ends from other incarnations, and lost ends. No place may be
 // granted twice, no request may be refused while a slot is free, and places whose end was lost must expire.
 func TestKeeperInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/places/server.go
+++ b/internal/places/server.go
@@ -27,11 +27,11 @@
 
 // Register adds the HTTP handlers to mux.
 func (s *Server) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+pathAcquire, s.handleTake)
+	mux.HandleFunc("POST "+pathAcquire, s.handleAcquire)
 	mux.HandleFunc("POST "+pathEnd, s.handleEnd)
 }
 
-func (s *Server) handleTake(w http.ResponseWriter, r *http.Request) {
+func (s *Server) handleAcquire(w http.ResponseWriter, r *http.Request) {
 	var req Request
 	if !result.ReadJSON(w, r, maxMessageBytes, &req) {
 		return
