--- a/internal/ratelimit/book.go
+++ b/internal/ratelimit/book.go
@@ -21,8 +21,8 @@
 	// liftedRetention is how long a box stores the report that an endpoint has no rate limit any more, so that it can inform
 	// boxes that still apply the limit.
 	liftedRetention = 30 * time.Second
-	// maxEntries limits the endpoints in a Registry, which take about 200 bytes each. When it is reached, a new endpoint replaces the
-	// one with the oldest report.
+	// maxEntries limits the endpoints in a Registry, which take about 200 bytes each. When it is reached, a new endpoint replaces
+	// the one with the oldest report.
 	maxEntries = 4096
 	// changeLogInterval is the minimum time between two log lines about changes of one endpoint's rate.
 	changeLogInterval = 5 * time.Second
@@ -57,9 +57,9 @@
 
 // withAge returns the report with its age, for a message to another box.
 func (o observation) withAge(now time.Time) Report {
-	w := o.Report
-	w.Age = max(0, now.Sub(o.at))
-	return w
+	report := o.Report
+	report.Age = max(0, now.Sub(o.at))
+	return report
 }
 
 // RegistryConfig configures a Registry.
@@ -198,7 +198,8 @@
 	r.size.Store(int64(len(r.entries)))
 }
 
-// LatestReport returns the latest report of an endpoint since its start, or nil if there is none. A report from before started is void.
+// LatestReport returns the latest report of an endpoint, or nil if there is none. A report from before started, the start time of
+// the endpoint, is void.
 func (r *Registry) LatestReport(now time.Time, endpoint string, started int64) *Report {
 	if !r.HasReports() {
 		return nil
@@ -209,12 +210,12 @@
 	if e == nil || e.Started < started {
 		return nil
 	}
-	w := e.withAge(now)
-	return &w
+	report := e.withAge(now)
+	return &report
 }
 
-// TakeOwnShare reports whether a request fits in this box's own share of an endpoint's rate, and consumes a part of the share if it
-// does. It is used while the keeper of the endpoint cannot be reached. Without a rate limit all requests are allowed. If the
+// TakeOwnShare reports whether a request fits in this box's own share of an endpoint's rate, and consumes a part of the share if
+// it does. It is used while the keeper of the endpoint cannot be reached. Without a rate limit all requests are allowed. If the
 // share is used up, wait is the time after which the request may be retried.
 func (r *Registry) TakeOwnShare(now time.Time, endpoint string, started int64) (wait time.Duration, ok bool) {
 	report := r.LatestReport(now, endpoint, started)
@@ -235,9 +236,10 @@
 	return wait, ok
 }
 
-// RetryAfter returns the time after which a request may be retried that was refused because of the rate limits of all endpoints of
-// a service. The wait is at least earliest, up to maxWait. Each box spreads its own retries over an equal part of the endpoints'
-// total rate. All boxes together thus receive as many retries as the endpoints accept, without messages between the boxes.
+// RetryAfter returns the wait before the retry of a request that was refused because of the rate limits of all endpoints of a
+// service. The wait is at least earliest, or maxWait if earliest is longer. Each box spreads its own retries over an equal part
+// of the endpoints' total rate. All boxes together thus receive as many retries as the endpoints accept, without messages between
+// the boxes.
 func (r *Registry) RetryAfter(now time.Time, service string, endpoints func() []string, earliest time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/ratelimit/book_test.go
+++ b/internal/ratelimit/book_test.go
@@ -9,16 +9,16 @@
 	"github.com/uber-go/tally/v4"
 )
 
-func newBook(boxes int) *Registry {
+func newRegistry(boxes int) *Registry {
 	return NewRegistry(RegistryConfig{Boxes: func() int { return boxes }, Scope: tally.NoopScope})
 }
 
-func TestBookKeepsLatestWord(t *testing.T) {
+func TestRegistryKeepsLatestReport(t *testing.T) {
 	c := qt.New(t)
-	registry := newBook(3)
+	registry := newRegistry(3)
 	c.Check(registry.Record(base, "e", Report{}), qt.IsFalse, qt.Commentf("neither this report nor an earlier one has a limit"))
 	c.Check(registry.LatestReport(base, "e", 0), qt.IsNil)
-	c.Check(registry.Record(base, "e", *limitedWord(1.9, 5)), qt.IsTrue)
+	c.Check(registry.Record(base, "e", *limitedReport(1.9, 5)), qt.IsTrue)
 	later := base.Add(time.Second)
 	c.Check(registry.LatestReport(later, "e", 5), qt.DeepEquals, &Report{Limited: true, Rate: 1.9, Started: 5, Age: time.Second})
 	c.Check(registry.LatestReport(later, "e", 6), qt.IsNil, qt.Commentf("the endpoint has restarted since the report"))
@@ -27,15 +27,15 @@
 	c.Check(registry.Limits(later), qt.HasLen, 0)
 	c.Check(registry.Record(later, "e", Report{Limited: true, Rate: 1, Started: 5, Age: 500 * time.Millisecond}), qt.IsTrue)
 	c.Check(registry.Limits(later), qt.HasLen, 0, qt.Commentf("the report is older than the stored one"))
-	registry.Record(later.Add(liftedRetention), "other", *limitedWord(1, 0))
+	registry.Record(later.Add(liftedRetention), "other", *limitedReport(1, 0))
 	c.Check(registry.LatestReport(later.Add(liftedRetention), "e", 5), qt.IsNil, qt.Commentf("forgotten"))
 }
 
-func TestBookSizeIsLimited(t *testing.T) {
+func TestRegistrySizeIsLimited(t *testing.T) {
 	c := qt.New(t)
-	registry := newBook(3)
+	registry := newRegistry(3)
 	for i := range maxEntries + 100 {
-		registry.Record(base.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), *limitedWord(1, 0))
+		registry.Record(base.Add(time.Duration(i)*time.Millisecond), fmt.Sprint(i), *limitedReport(1, 0))
 	}
 	c.Check(len(registry.entries), qt.Equals, maxEntries)
 	c.Check(registry.LatestReport(base, "0", 0), qt.IsNil)
@@ -53,9 +53,9 @@
 		names = append(names, fmt.Sprint(n))
 	}
 	for range boxes {
-		registry := newBook(boxes)
+		registry := newRegistry(boxes)
 		for _, name := range names {
-			registry.Record(base, name, *limitedWord(2, 0))
+			registry.Record(base, name, *limitedReport(2, 0))
 		}
 		for range 100 / boxes {
 			retriesPerSecond[int(registry.RetryAfter(base, "s", func() []string { return names }, 100*time.Millisecond).Seconds())]++
@@ -68,21 +68,21 @@
 	c.Check(retriesPerSecond[0] >= 5, qt.IsTrue)
 }
 
-// BenchmarkBookWithoutRates measures the cost per request while no endpoint has a rate limit.
-func BenchmarkBookWithoutRates(b *testing.B) {
-	registry := newBook(3)
+// BenchmarkRegistryWithoutRates measures the cost per request while no endpoint has a rate limit.
+func BenchmarkRegistryWithoutRates(b *testing.B) {
+	registry := newRegistry(3)
 	for b.Loop() {
 		registry.LatestReport(base, "e", 1)
 		registry.Record(base, "e", Report{Started: 1})
 	}
 }
 
-// BenchmarkBook measures the cost per request to an endpoint that has a rate limit.
-func BenchmarkBook(b *testing.B) {
-	registry := newBook(3)
-	registry.Record(base, "e", *limitedWord(1, 1))
+// BenchmarkRegistry measures the cost per request to an endpoint that has a rate limit.
+func BenchmarkRegistry(b *testing.B) {
+	registry := newRegistry(3)
+	registry.Record(base, "e", *limitedReport(1, 1))
 	for b.Loop() {
 		registry.LatestReport(base, "e", 1)
-		registry.Record(base, "e", *limitedWord(1, 1))
+		registry.Record(base, "e", *limitedReport(1, 1))
 	}
 }
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -36,7 +36,7 @@
 type Request struct {
 	// Urgency is higher for requests that take precedence.
 	Urgency int
-	// Customer owns the request. It is empty if unknown.
+	// Customer sent the request. It is empty if unknown.
 	Customer string
 	// Costly is true if the request costs more at this endpoint than elsewhere, because its adapter must be loaded first. Such
 	// requests only use tokens that no other request needs.
@@ -65,8 +65,8 @@
 	refused        int
 }
 
-// ApplyReport applies a report of the endpoint if it is newer than the previous one. A new limit starts without tokens, because the box
-// that counted the requests before may have just used all of them.
+// ApplyReport applies a report of the endpoint if it is newer than the previous one. A new limit starts without tokens, because
+// the box that counted the requests before may have just used all of them.
 func (l *Limiter) ApplyReport(now time.Time, report *Report) {
 	if report == nil {
 		return
@@ -83,8 +83,8 @@
 	l.observed = next
 }
 
-// SetStart records the latest start time of the endpoint in Unix milliseconds, zero if unknown. Reports from before that time become
-// void.
+// SetStart records the latest start time of the endpoint in Unix milliseconds, zero if unknown. Reports from before that time
+// become void.
 func (l *Limiter) SetStart(started int64) {
 	if started <= l.started {
 		return
@@ -103,8 +103,8 @@
 	if !l.observed.Limited {
 		return nil
 	}
-	w := l.observed.withAge(now)
-	return &w
+	report := l.observed.withAge(now)
+	return &report
 }
 
 // IsLimited reports whether the endpoint has a rate limit.
@@ -198,7 +198,8 @@
 }
 
 // requiredTokens returns the number of tokens that must be available before a request may be sent. A costly request requires the
-// full capacity. A request requires one token less if urgent requests or other customers take precedence over it.
+// full capacity. A request over which more urgent requests or other customers take precedence requires one token less than that.
+// All other requests require one token.
 func (l *Limiter) requiredTokens(now time.Time, req Request) float64 {
 	switch {
 	case req.Costly:
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -41,7 +41,7 @@
 	return n
 }
 
-func limitedWord(rate float64, started int64) *Report {
+func limitedReport(rate float64, started int64) *Report {
 	return &Report{Limited: true, Rate: rate, Started: started}
 }
 
@@ -62,7 +62,7 @@
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := &Limiter{}
-			l.ApplyReport(base, limitedWord(test.rate, 0))
+			l.ApplyReport(base, limitedReport(test.rate, 0))
 			var sentAt []time.Time
 			end := base.Add(200 * time.Second)
 			for now := base; now.Before(end); {
@@ -79,13 +79,13 @@
 	}
 }
 
-func TestLimiterKeepsLatestWord(t *testing.T) {
+func TestLimiterKeepsLatestReport(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
 	for range 1000 {
 		c.Assert(tryUse(l, base, Request{}), qt.IsTrue)
 	}
-	l.ApplyReport(base, limitedWord(1, 7))
+	l.ApplyReport(base, limitedReport(1, 7))
 	c.Check(tryUse(l, base, Request{}), qt.IsFalse, qt.Commentf("a new limit starts without tokens"))
 	now := base.Add(10 * time.Second)
 	c.Check(tryUse(l, now, Request{}), qt.IsTrue)
@@ -95,20 +95,20 @@
 	c.Check(l.IsLimited(), qt.IsTrue, qt.Commentf("a report from before the endpoint's restart is ignored"))
 	l.ApplyReport(now, &Report{Started: 7})
 	c.Check(l.IsLimited(), qt.IsFalse)
-	l.ApplyReport(now.Add(time.Second), limitedWord(1, 7))
+	l.ApplyReport(now.Add(time.Second), limitedReport(1, 7))
 	c.Check(l.IsLimited(), qt.IsTrue, qt.Commentf("the endpoint reports a limit again"))
 	l.SetStart(8)
 	c.Check(l.IsLimited(), qt.IsFalse, qt.Commentf("a restarted endpoint has not reported a limit"))
-	l.ApplyReport(now.Add(2*time.Second), limitedWord(1, 7))
+	l.ApplyReport(now.Add(2*time.Second), limitedReport(1, 7))
 	c.Check(l.IsLimited(), qt.IsFalse, qt.Commentf("a late report from before the restart is ignored"))
-	l.ApplyReport(now.Add(2*time.Second), limitedWord(1, 8))
+	l.ApplyReport(now.Add(2*time.Second), limitedReport(1, 8))
 	c.Check(l.IsLimited(), qt.IsTrue)
 }
 
 func TestZeroRateIsProbed(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
-	l.ApplyReport(base, limitedWord(0, 0))
+	l.ApplyReport(base, limitedReport(0, 0))
 	sent := 0
 	for now := base; now.Before(base.Add(10 * zeroRateInterval)); now = now.Add(100 * time.Millisecond) {
 		if tryUse(l, now, Request{Urgency: rand.IntN(3), Costly: rand.IntN(2) == 0}) {
@@ -131,7 +131,7 @@
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(1, 2))
 			l := &Limiter{}
-			l.ApplyReport(base, limitedWord(2, 0))
+			l.ApplyReport(base, limitedReport(2, 0))
 			total, sent := map[int]float64{}, map[int]float64{}
 			for now := base; now.Before(base.Add(200 * time.Second)); {
 				now = now.Add(time.Duration(rng.ExpFloat64() / 8 * float64(time.Second)))
@@ -157,7 +157,7 @@
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	l := &Limiter{}
-	l.ApplyReport(base, limitedWord(4, 0))
+	l.ApplyReport(base, limitedReport(4, 0))
 	sent := map[string]int{}
 	for now := base; now.Before(base.Add(100 * time.Second)); {
 		now = now.Add(time.Duration(rng.ExpFloat64() / 26 * float64(time.Second)))
@@ -181,7 +181,7 @@
 func TestCostlyRequestsGetUnusedRate(t *testing.T) {
 	c := qt.New(t)
 	l := &Limiter{}
-	l.ApplyReport(base, limitedWord(1, 0))
+	l.ApplyReport(base, limitedReport(1, 0))
 	costly := 0
 	for now := base; now.Before(base.Add(60 * time.Second)); now = now.Add(200 * time.Millisecond) {
 		if tryUse(l, now, Request{Costly: true}) {
@@ -210,9 +210,9 @@
 		t.Run(fmt.Sprint(test), func(t *testing.T) {
 			c := qt.New(t)
 			keeper, others := &Limiter{}, make([]Limiter, test.boxes-1)
-			keeper.ApplyReport(base, limitedWord(test.rate, 0))
+			keeper.ApplyReport(base, limitedReport(test.rate, 0))
 			for i := range others {
-				others[i].ApplyReport(base, limitedWord(test.rate, 0))
+				others[i].ApplyReport(base, limitedReport(test.rate, 0))
 			}
 			var sentAt []time.Time
 			fromOwnShares := 0
@@ -235,13 +235,13 @@
 	}
 }
 
-// TestRateHoldsWhenKeeperChanges models the repeated loss of the keeper. The boxes use their own shares until the next keeper
-// starts, which learns the rate from the first request.
+// TestRateHoldsWhenKeeperChanges models that the keeper is lost several times. The boxes use their own shares until the next
+// keeper starts, which learns the rate from the first request.
 func TestRateHoldsWhenKeeperChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.05, 20).Draw(t, "rate")
 		boxes := rapid.IntRange(2, 40).Draw(t, "boxes")
-		report := limitedWord(rate, 0)
+		report := limitedReport(rate, 0)
 		keeper, others := &Limiter{}, make([]Limiter, boxes)
 		keeper.ApplyReport(base, report)
 		var sentAt []time.Time
@@ -302,7 +302,7 @@
 
 func BenchmarkLimiter(b *testing.B) {
 	l := &Limiter{}
-	l.ApplyReport(base, limitedWord(1.9, 0))
+	l.ApplyReport(base, limitedReport(1.9, 0))
 	now := base
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
--- a/internal/ratelimit/shares.go
+++ b/internal/ratelimit/shares.go
@@ -57,7 +57,8 @@
 	}
 }
 
-// isOverShare reports whether a customer has used more than an equal share of the use by all customers with recent requests.
+// isOverShare reports whether a customer has used more than its equal share by more than overuseMargin. The use by all customers
+// with recent requests is divided into equal shares.
 func (s *shares) isOverShare(now time.Time, customer string) bool {
 	c := s.customers[customer]
 	if c == nil {
--- a/internal/ratelimit/word.go
+++ b/internal/ratelimit/word.go
@@ -40,7 +40,8 @@
 	return o
 }
 
-// ParseHeader parses the rate limit from the values of a header. Without values the result has no limit. An invalid rate is an error.
+// ParseHeader parses the rate limit from the values of a header. Without values the result has no limit. An invalid rate is an
+// error.
 func ParseHeader(values []string) (Report, error) {
 	if len(values) == 0 {
 		return Report{}, nil
