--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -13,11 +13,11 @@
 
 // These are the mechanisms, each with its effect while it is on.
 const (
-	// CopyLimit loads another copy of an adapter only if it can serve the request in time and none of the engines that have the adapter
-	// loaded, are loading it or had it loaded recently can do so.
+	// CopyLimit loads another copy of an adapter only if that copy can serve the request in time and no engine can do so that has
+	// the adapter loaded, is loading it or had it loaded recently.
 	CopyLimit Mechanism = "copies"
-	// CrowdDetection asks more engines for a grant while all engines that have the adapter loaded, are loading it or had it loaded recently are
-	// busy. Engines that have it loaded are asked first.
+	// CrowdDetection asks more engines for a grant while all engines are busy that have the adapter loaded, are loading it or had it
+	// loaded recently. Engines that have it loaded are asked first.
 	CrowdDetection Mechanism = "crowds"
 	// PreferenceOrder adds a cost for each position of an engine in the order of preference, so that earlier engines are chosen.
 	PreferenceOrder Mechanism = "order"
@@ -43,7 +43,8 @@
 	SendWithoutOwner Mechanism = "ownerless"
 	// StallDetection aborts a response stream that has stopped sending data, so that the request can continue on another engine.
 	StallDetection Mechanism = "stalls"
-	// ConcurrencyLimit limits the concurrent requests of all boxes at each endpoint of a plain service. One box counts them for each endpoint.
+	// ConcurrencyLimit limits the concurrent requests of all boxes at each endpoint of a plain service. One box counts them for each
+	// endpoint.
 	ConcurrencyLimit Mechanism = "places"
 	// BaseOnDemand loads a base model from the weight store only on engines that are needed for requests.
 	BaseOnDemand Mechanism = "base_on_demand"
--- a/internal/turn/turn.go
+++ b/internal/turn/turn.go
@@ -8,8 +8,9 @@
 	next time.Time
 }
 
-// NextDelay returns how long the next caller must wait before its retry. Successive callers get retry times that are interval apart, because
-// otherwise all callers would retry at the same moment although there is capacity for only one of them. No delay exceeds maxDelay.
+// NextDelay returns how long the next caller must wait before its retry. Successive callers get retry times that are interval
+// apart, because otherwise all callers would retry at the same moment although there is capacity for only one of them. No delay
+// exceeds maxDelay.
 func (t *RetrySchedule) NextDelay(now time.Time, interval, maxDelay time.Duration) time.Duration {
 	if t.next.Before(now) {
 		t.next = now
--- a/internal/turn/turn_test.go
+++ b/internal/turn/turn_test.go
@@ -9,7 +9,7 @@
 	"github.com/bellgap/bellgap/internal/turn"
 )
 
-func TestTurns(t *testing.T) {
+func TestNextDelay(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1_800_000_000, 0)
 	var schedule turn.RetrySchedule
