--- a/internal/owner/runner.go
+++ b/internal/owner/runner.go
@@ -69,7 +69,7 @@
 	Rate *ratelimit.Report
 	// EngineLeaving is true if the engine has announced that it is leaving.
 	EngineLeaving bool
-	// Notices receives the notices in the engine's reports. It is nil if only the owner needs them.
+	// Notices receives the notices in the engine's reports. If it is nil, only the Runner uses them.
 	Notices *notice.Board
 	Scope   tally.Scope
 }
