--- a/internal/aggregator/aggregator_test.go
+++ b/internal/aggregator/aggregator_test.go
@@ -81,28 +81,28 @@
 // TestCollector checks that a batch is fresh if it is taken on time or a little late, and not fresh if it is taken much too late or
 // shortly after the process was suspended.
 func TestCollector(t *testing.T) {
-	const window, stallAfter = 200 * time.Millisecond, 400 * time.Millisecond
+	const window, maxDelay = 200 * time.Millisecond, 400 * time.Millisecond
 	for _, test := range []struct {
 		name string
-		// stalledBefore is the time from the detection of a suspension to the taking of the batch. It is zero without a suspension.
+		// suspendedBefore is the time from the detection of a suspension to the taking of the batch. It is zero without a suspension.
 		// takenAfter is the time from the first entry to the taking of the batch.
-		stalledBefore, takenAfter time.Duration
-		fresh                     bool
+		suspendedBefore, takenAfter time.Duration
+		fresh                       bool
 	}{
 		{name: "on time", takenAfter: window, fresh: true},
 		{name: "a little late", takenAfter: window + 100*time.Millisecond, fresh: true},
 		{name: "much too late, after an undetected suspension", takenAfter: 3 * time.Second},
-		{name: "right after a suspension", stalledBefore: window, takenAfter: window},
-		{name: "long after a suspension", stalledBefore: time.Second, takenAfter: window, fresh: true},
+		{name: "right after a suspension", suspendedBefore: window, takenAfter: window},
+		{name: "long after a suspension", suspendedBefore: time.Second, takenAfter: window, fresh: true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			now := time.Now()
-			collector := aggregator.NewCollector[int](aggregator.CollectorConfig{Window: window, MaxDelay: stallAfter})
+			collector := aggregator.NewCollector[int](aggregator.CollectorConfig{Window: window, MaxDelay: maxDelay})
 			c.Check(collector.Add(now, 1), qt.IsTrue)
 			c.Check(collector.Add(now.Add(window/2), 2), qt.IsFalse)
-			if test.stalledBefore > 0 {
-				collector.RecordStall(now.Add(test.takenAfter - test.stalledBefore))
+			if test.suspendedBefore > 0 {
+				collector.RecordSuspension(now.Add(test.takenAfter - test.suspendedBefore))
 			}
 			batch, fresh := collector.Take(now.Add(test.takenAfter))
 			c.Check(batch, qt.DeepEquals, []int{1, 2})
--- a/internal/aggregator/collector.go
+++ b/internal/aggregator/collector.go
@@ -4,10 +4,10 @@
 
 // Collector gathers the entries that arrive within a time window into one batch. The zero value is not usable; use NewCollector.
 type Collector[T any] struct {
-	cfg         CollectorConfig
-	pending     []T
-	dueAt       time.Time
-	lastStallAt time.Time
+	cfg             CollectorConfig
+	pending         []T
+	dueAt           time.Time
+	lastSuspendedAt time.Time
 }
 
 // CollectorConfig configures a Collector.
@@ -33,14 +33,14 @@
 	return true
 }
 
-// RecordStall records that the process was suspended until now.
-func (c *Collector[T]) RecordStall(now time.Time) { c.lastStallAt = now }
+// RecordSuspension records that the process was suspended until now.
+func (c *Collector[T]) RecordSuspension(now time.Time) { c.lastSuspendedAt = now }
 
 // Take returns the entries of the batch and whether they are fresh enough to be forwarded. They are fresh if the process was suspended
 // neither while they waited nor shortly before.
 func (c *Collector[T]) Take(now time.Time) (batch []T, fresh bool) {
 	batch, c.pending = c.pending, nil
 	onTime := now.Sub(c.dueAt) < c.cfg.MaxDelay
-	recentlyStalled := !c.lastStallAt.IsZero() && now.Sub(c.lastStallAt) < c.cfg.Window+c.cfg.MaxDelay
-	return batch, onTime && !recentlyStalled
+	recentlySuspended := !c.lastSuspendedAt.IsZero() && now.Sub(c.lastSuspendedAt) < c.cfg.Window+c.cfg.MaxDelay
+	return batch, onTime && !recentlySuspended
 }
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,5 +1,5 @@
-// Package catalog holds the declared resources and the cell maps that this box has received. An older form of an object never replaces a
-// newer one.
+// Package catalog holds the declared resources and the cell maps that this box has received. An older form of an object never
+// replaces a newer one.
 package catalog
 
 import (
@@ -41,8 +41,8 @@
 	lastListing int64
 	// size is the approximate size of the object in a message, in bytes.
 	size int
-	// newerThanStore is set if the store, restored from an older copy, last returned an older form of the object. Other boxes may hold that
-	// older form.
+	// newerThanStore is set if the store, restored from an older copy, last returned an older form of the object. Other boxes may hold
+	// that older form.
 	newerThanStore bool
 	// value is a resource.Spec or a *coordinator.Map.
 	value any
@@ -54,7 +54,8 @@
 	generation int64
 	// backInStore is set if the store has the object again, for example after a restore from an older copy.
 	backInStore bool
-	// withheld is the deleted object that the store has again, while its kind is withheld. It is nil if the store does not have the object.
+	// withheld is the deleted object that the store has again, while its kind is withheld. It is nil if the store does not have the
+	// object.
 	withheld *objects.Object
 }
 
@@ -69,9 +70,9 @@
 	deletionsFrom objects.Position
 	revision      objects.Position
 	// listingCount is the number of full lists that were begun.
-	listingCount int64
-	nextChange   chan struct{}
-	skipped      int
+	listingCount    int64
+	nextChange      chan struct{}
+	unreadableCount int
 	// withheldKinds holds the kinds whose deleted objects stay deleted when a restored copy of the store contains them again.
 	withheldKinds map[string]bool
 	// recent holds the last changes in the order of their versions and is complete after recentFrom. Boxes that are nearly up to date are
@@ -80,7 +81,7 @@
 	recentFrom objects.Position
 	// topology is the routing view. It is computed on demand and dropped when an object of a kind that it is built from changes.
 	topology *Topology
-	// isLeaving, if set, reports whether the endpoint itself has announced that it is leaving, in the run that began at started.
+	// isLeaving, if set, reports whether the endpoint itself has announced that it is leaving, in the incarnation that began at started.
 	isLeaving func(endpoint string, started int64) bool
 	// routes is the table built from routing, the routing configuration in force.
 	routes  *route.Table
@@ -122,10 +123,11 @@
 func (c *Catalog) UnreadableObjects() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.skipped
+	return c.unreadableCount
 }
 
-// Apply applies changes since an earlier revision. It skips objects that are not newer than their held form, and returns how many are older.
+// Apply applies changes since an earlier revision. It skips objects that are not newer than their held form, and returns how many are
+// older.
 func (c *Catalog) Apply(ch objects.Changes) (older int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,8 +141,8 @@
 	return older
 }
 
-// appendRecent keeps changes for the next requests of other boxes. It drops changes up to the catalog's revision, so that the kept changes
-// are in the order of their versions.
+// appendRecent keeps changes for the next requests of other boxes. It drops changes up to the catalog's revision, so that the kept
+// changes are in the order of their versions.
 func (c *Catalog) appendRecent(ch objects.Changes) {
 	fresh := slices.Clone(ch.Objects)
 	fresh = slices.DeleteFunc(fresh, func(o objects.Object) bool { return o.Version <= c.revision })
@@ -179,7 +181,7 @@
 	v, generation, err := decode(o)
 	if err != nil {
 		// Keep the last readable form of an object that this box cannot read.
-		c.skipped++
+		c.unreadableCount++
 		return false
 	}
 	if t, ok := c.deleted[k]; ok && generation <= t.generation {
@@ -212,8 +214,9 @@
 	return false
 }
 
-// keepLeaving marks the updated endpoint as leaving if the previous one was leaving in the same run. It reports whether it changed the
-// updated endpoint. Leaving is final, and a restored copy of the store may be older than the time at which the endpoint began to leave.
+// keepLeaving marks the updated endpoint as leaving if the previous one was leaving and is the same incarnation. It reports whether
+// it changed the updated endpoint. Leaving is final, and a restored copy of the store may be older than the time at which the
+// endpoint began to leave.
 func keepLeaving(previous, updated any) bool {
 	previousEndpoint, ok := previous.(*resource.Endpoint)
 	if !ok || !previousEndpoint.Leaving {
@@ -228,9 +231,9 @@
 	return true
 }
 
-// withholdDeleted withholds an object that was deleted in an earlier era while its kind is withheld, and reports whether it did. A restored
-// copy of the store contains objects that were deleted after the copy was made. An object that is written again in the new era has a later
-// version and is applied.
+// withholdDeleted withholds an object that was deleted in an earlier era while its kind is withheld, and reports whether it did. A
+// restored copy of the store contains objects that were deleted after the copy was made. An object that is written again in the new
+// era has a later version and is applied.
 func (c *Catalog) withholdDeleted(k key, o objects.Object) bool {
 	t, wasDeleted := c.deleted[k]
 	if !wasDeleted || !c.withheldKinds[k.kind] || t.version.Era() == o.Version.Era() || t.isRewrittenBy(o) {
@@ -266,7 +269,8 @@
 	return n
 }
 
-// ReleaseWithheld ends the withholding that BeginWithholding started. It applies the withheld objects that the store still has and returns them.
+// ReleaseWithheld ends the withholding that BeginWithholding started. It applies the withheld objects that the store still has and
+// returns them.
 func (c *Catalog) ReleaseWithheld(kind string) []objects.Object {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -284,8 +288,8 @@
 	return withheld
 }
 
-// MarkChanged counts an object as changed at its present version although its value is the same. Other boxes may have dropped the object in the
-// meantime.
+// MarkChanged counts an object as changed at its present version although its value is the same. Other boxes may have dropped the
+// object in the meantime.
 func (c *Catalog) MarkChanged(kind, name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/catalog/listing.go
+++ b/internal/catalog/listing.go
@@ -11,8 +11,9 @@
 type Listing struct {
 	catalog  *Catalog
 	revision objects.Position
-	// Stale is set if the list ends before the catalog's revision or is of a later era. The cause is a stale read, or a platform that was
-	// restored from an older copy. Such a list neither removes nor reverts objects. LostByStore returns the objects that the platform lost.
+	// Stale is set if the list ends before the catalog's revision or is of a later era. The cause is a stale read, or a platform that
+	// was restored from an older copy. Such a list neither removes nor reverts objects. LostByStore returns the objects that the
+	// platform lost.
 	Stale bool
 }
 
@@ -140,8 +141,9 @@
 	return lost
 }
 
-// KindChangesSince returns the objects of a kind whose values changed after revision from, including deletions, and whether the changes are
-// complete. If from is zero or deletions after it are no longer kept, KindChangesSince returns all objects of the kind and false.
+// KindChangesSince returns the objects of a kind whose values changed after revision from, including deletions, and whether the
+// changes are complete. If from is zero or deletions after it are no longer kept, KindChangesSince returns all objects of the kind
+// and false.
 func (c *Catalog) KindChangesSince(kind string, from objects.Position) (changed []objects.Object, complete bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -166,7 +168,8 @@
 	return objectOverhead + len(o.Kind) + len(o.Name) + len(o.Value)
 }
 
-// KindChangesSize returns the approximate size in a message, in bytes, of the objects that KindChangesSince returns. It does not encode them.
+// KindChangesSize returns the approximate size in a message, in bytes, of the objects that KindChangesSince returns. It does not
+// encode them.
 func (c *Catalog) KindChangesSize(kind string, from objects.Position) int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/internal/catalog/size_test.go
+++ b/internal/catalog/size_test.go
@@ -52,7 +52,7 @@
 				return
 			}
 			c.Check(size > len(message)*3/4 && size < len(message)*5/4, qt.IsTrue,
-				qt.Commentf("KindSize returned %d bytes, encoded %d bytes", size, len(message)))
+				qt.Commentf("KindChangesSize returned %d bytes, encoded %d bytes", size, len(message)))
 		})
 	}
 }
--- a/internal/catalog/topology.go
+++ b/internal/catalog/topology.go
@@ -36,9 +36,9 @@
 type Topology struct {
 	// Engines holds all engines by name, including endpoints of services that run models.
 	Engines map[string]EngineView
-	// ByModel lists, for each base model, the names of the engines that have a live owner and are not on a leaving box.
+	// ByModel lists, for each base model, the names of the engines whose owner is in a cell map and whose box is not leaving.
 	ByModel map[string][]string
-	// Boxes lists the live boxes of all cells by name.
+	// Boxes holds the members of all cell maps by name, including leaving and silent boxes.
 	Boxes map[string]coordinator.Member
 	// Endpoints lists the endpoints of each service, sorted by name.
 	Endpoints map[string][]EndpointView
@@ -46,7 +46,7 @@
 	Routes *route.Table
 	// Serving holds the serving configuration of each base model.
 	Serving map[string]*resource.Serving
-	// Schedulers holds, for each region, the box that schedules adapter loads. This box is the coordinator of the region's first cell.
+	// Schedulers holds, for each region, the box that schedules adapter loads: the coordinator of the region's first cell by name.
 	Schedulers map[string]coordinator.Member
 	// Quarantined lists the requests that, according to the cell maps, must not reach any endpoint.
 	Quarantined  []quarantine.Held
@@ -80,8 +80,8 @@
 	return c.topology
 }
 
-// SetLeavingFunc sets the function that reports whether an endpoint itself has announced that it is leaving. The announcement is newer than the
-// state in discovery, and final for the run of the endpoint that began at started.
+// SetLeavingFunc sets the function that reports whether an endpoint itself has announced that it is leaving. The announcement is
+// newer than the state in discovery, and final for the incarnation of the endpoint that began at started.
 func (c *Catalog) SetLeavingFunc(isLeaving func(endpoint string, started int64) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -201,8 +201,8 @@
 	kvFillLimit = 0.9
 )
 
-// baseModel returns the base model that an endpoint holds. If the endpoint holds none, it returns a model that is chosen by the endpoint's
-// name, so that every box chooses the same model.
+// baseModel returns the base model that an endpoint holds. If the endpoint holds none, it returns a model that is chosen by the
+// endpoint's name, so that every box chooses the same model.
 func baseModel(name string, e *resource.Endpoint, class *resource.EngineClass) string {
 	if e.BaseModel != "" {
 		return e.BaseModel
--- a/internal/coordinator/assign.go
+++ b/internal/coordinator/assign.go
@@ -102,9 +102,9 @@
 	return (len(s.engineZones) + boxes - 1) / boxes
 }
 
-// enginesToRelease returns the engines that a member is to hand over to other boxes. After boxes have joined, these are the engines above
-// its share, except engines whose previous owner may still have requests in flight. A leaving member hands over all engines, unless
-// Config.Reclaim lets it keep its share.
+// enginesToRelease returns the engines that a member is to hand over to other boxes. After boxes have joined, these are the engines
+// above its share, except engines whose previous owner may still have requests in flight. A leaving member hands over all engines,
+// unless Config.Reclaim lets it keep its share.
 func (s *State) enginesToRelease(now time.Time, m *member, grants []Ownership) []string {
 	if s.keepLimit == 0 || now.Sub(s.cfg.Started) < s.cfg.Term {
 		return nil
--- a/internal/coordinator/batch.go
+++ b/internal/coordinator/batch.go
@@ -11,8 +11,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// Batch contains the heartbeats of several boxes, forwarded by one of these boxes (the aggregator). Known and MapGeneration describe the
-// state of the aggregator only: it receives each change once and distributes it to the other boxes.
+// Batch contains the heartbeats of several boxes, forwarded by one of these boxes (the aggregator). Known and MapGeneration describe
+// the state of the aggregator only: it receives each change once and distributes it to the other boxes.
 type Batch struct {
 	// Box names the aggregator, which forwards the heartbeats.
 	Box           string                      `json:"box"`
--- a/internal/coordinator/history.go
+++ b/internal/coordinator/history.go
@@ -9,8 +9,8 @@
 // heartbeat interval, 16 deltas cover six seconds.
 const maxDeltas = 16
 
-// History holds the newest cell map and the latest deltas that led to it, for boxes that have an earlier map. It keeps deltas instead of
-// maps, as 16 maps would take 0.3 MB each at 300 boxes and 3,000 engines.
+// History holds the newest cell map and the latest deltas that led to it, for boxes that have an earlier map. It keeps deltas instead
+// of maps, as 16 maps would take 0.3 MB each at 300 boxes and 3,000 engines.
 type History struct {
 	newest Map
 	// deltas lead to newest, oldest first. Each delta applies to the generation that the previous delta results in.
@@ -37,8 +37,8 @@
 // Newest returns the newest map.
 func (h *History) Newest() Map { return h.newest }
 
-// Since returns the changes since a generation, or the whole map if the deltas since that generation are no longer kept. It returns false
-// if there is no newer map.
+// Since returns the changes since a generation, or the whole map if the deltas since that generation are no longer kept. It returns
+// false if there is no newer map.
 func (h *History) Since(generation int64) (Delta, bool) {
 	if h.newest.Generation <= generation {
 		return Delta{}, false
--- a/internal/coordinator/message.go
+++ b/internal/coordinator/message.go
@@ -53,8 +53,8 @@
 	Generation int64 `json:"generation"`
 	// Lease is the epoch of the coordinator's lease.
 	Lease uint64 `json:"lease"`
-	// Epoch is the highest epoch that any engine of the cell has had. Engines that no longer exist count too, as an engine of the same name
-	// may come back.
+	// Epoch is the highest epoch that any engine of the cell has had. Engines that no longer exist count too, as an engine of the same
+	// name may come back.
 	Epoch uint64 `json:"epoch,omitempty"`
 	// Coordinator names the coordinating box.
 	Coordinator string      `json:"coordinator"`
@@ -87,8 +87,8 @@
 	// generation of its cell map. Both are empty if the box does not receive changes in heartbeat replies.
 	Known         map[string]objects.Position `json:"known,omitempty"`
 	MapGeneration int64                       `json:"map_generation,omitempty"`
-	// Sequence numbers the heartbeats of a process, starting at 1. A heartbeat that arrives after a later one is ignored; an aggregator may
-	// have delayed it. Zero means that the heartbeat is not numbered.
+	// Sequence numbers the heartbeats of a process, starting at 1. A heartbeat that arrives after a later one is ignored; an aggregator
+	// may have delayed it. Zero means that the heartbeat is not numbered.
 	Sequence uint64 `json:"sequence,omitempty"`
 	// Base is the sequence number of the last full heartbeat that this coordinator has answered. If Base is set, this heartbeat omits the
 	// fields that have not changed since, and of Member it contains only Box and Incarnation. This saves about 100 B per owned engine in
--- a/internal/coordinator/restored_test.go
+++ b/internal/coordinator/restored_test.go
@@ -24,8 +24,8 @@
 		Owners:  []Ownership{{Engine: "e", Owner: "a", Epoch: storedEpoch}},
 	}
 	claim := Ownership{Engine: "e", Owner: "b", Epoch: storedEpoch + 7}
-	newBeat := func(box, incarnation string, owned []Ownership, lapsed ...string) Beat {
-		return Beat{Member: Member{Box: box, Incarnation: incarnation}, Owned: owned, Lapsed: lapsed}
+	newBeat := func(box, incarnation string, owned []Ownership, expired ...string) Beat {
+		return Beat{Member: Member{Box: box, Incarnation: incarnation}, Owned: owned, Lapsed: expired}
 	}
 	for _, test := range []struct {
 		name  string
--- a/internal/coordinator/sequence_test.go
+++ b/internal/coordinator/sequence_test.go
@@ -11,8 +11,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// TestHeartbeatsOutOfOrder sends heartbeats as an aggregator may deliver them: delayed, twice, or based on a heartbeat that only another
-// coordinator received.
+// TestHeartbeatsOutOfOrder sends heartbeats as an aggregator may deliver them: delayed, twice, or based on a heartbeat that only
+// another coordinator received.
 func TestHeartbeatsOutOfOrder(t *testing.T) {
 	c := qt.New(t)
 	start := time.Now()
--- a/internal/coordinator/state.go
+++ b/internal/coordinator/state.go
@@ -21,14 +21,15 @@
 	Term time.Duration
 	// SilentAfter is how long a box may send no heartbeat before it is shown as silent. Zero disables this.
 	SilentAfter time.Duration
-	// InheritedSilentAfter replaces SilentAfter for boxes that were taken over from the last coordinator's map and have not sent a heartbeat to this
-	// coordinator yet, as they may have been silent before. It is counted from the first stored map. Zero means SilentAfter.
+	// InheritedSilentAfter replaces SilentAfter for boxes that were taken over from the last coordinator's map and have not sent a
+	// heartbeat to this coordinator yet, as they may have been silent before. It is counted from the first stored map. Zero means
+	// SilentAfter.
 	InheritedSilentAfter time.Duration
 	// Drain is how long a silent box may still have requests in flight after its term. It is the time for which the box keeps serving
 	// without a grant, plus the duration of the longest request.
 	Drain time.Duration
-	// OrderGap is the minimum time between the last order of one owner and the first order of the next owner. It is for engines that do not
-	// check epochs: they must not receive alternating orders from two owners.
+	// OrderGap is the minimum time between the last order of one owner and the first order of the next owner. It is for engines that do
+	// not check epochs: they must not receive alternating orders from two owners.
 	OrderGap time.Duration
 	// Reclaim lets the new process of a restarted box take over the engines of its last process at once, and lets a leaving box keep its
 	// engines until it stops. It requires that the platform ends a box's process before it starts the next one.
@@ -56,7 +57,7 @@
 	released  []Release
 	// sequence is the number of the newest heartbeat, baseSequence the number of the last full heartbeat.
 	sequence, baseSequence uint64
-	// busyEngines lists the engines that the box reported as owned, lapsed or draining. It may have requests in flight on them.
+	// busyEngines lists the engines that the box reported as owned, expired or draining. It may have requests in flight on them.
 	busyEngines []string
 	// owned lists the grants that the box reported.
 	owned []Ownership
@@ -90,8 +91,8 @@
 	// firstPublishedAt is when this coordinator's first map was stored. From then on boxes can find this coordinator.
 	firstPublishedAt time.Time
 	highestEpoch     uint64
-	// lastTick is the time of the last Tick. Map marks boxes that were silent at that time. keepLimit is the number of engines per box as of
-	// that Tick; a box above the limit has to release engines.
+	// lastTick is the time of the last Tick. Map marks boxes that were silent at that time. keepLimit is the number of engines per box
+	// as of that Tick; a box above the limit has to release engines.
 	lastTick  time.Time
 	keepLimit int
 	// listedLeaving holds the boxes that the platform's box list marks as leaving.
@@ -213,8 +214,9 @@
 	return Contact{Age: now.Sub(m.lastSeen), Inherited: m.inherited}
 }
 
-// CorrectForSuspension corrects the members' last heartbeat times after this process was suspended for d. It could not receive heartbeats during
-// that time, so all times are moved forward by d: no box is shown as silent or loses engines because of the suspension.
+// CorrectForSuspension corrects the members' last heartbeat times after this process was suspended for d. It could not receive
+// heartbeats during that time, so all times are moved forward by d: no box is shown as silent or loses engines because of the
+// suspension.
 func (s *State) CorrectForSuspension(now time.Time, d time.Duration) {
 	for _, m := range s.members {
 		if m.lastSeen = m.lastSeen.Add(d); m.lastSeen.After(now) {
@@ -276,8 +278,8 @@
 	s.freedAt[o.Engine] = now
 }
 
-// SetLeavingBoxes sets the boxes that the platform's box list marks as leaving. The list is delayed, so it is trusted only for boxes that it
-// marks as leaving, never for boxes that it marks as live.
+// SetLeavingBoxes sets the boxes that the platform's box list marks as leaving. The list is delayed, so it is trusted only for boxes
+// that it marks as leaving, never for boxes that it marks as live.
 func (s *State) SetLeavingBoxes(boxes []string) {
 	s.listedLeaving = slices.Clone(boxes)
 	slices.Sort(s.listedLeaving)
@@ -337,8 +339,8 @@
 	}
 }
 
-// clearPreviousIfDrained clears the previous owner once none of its requests can be in flight. While the previous owner still reports the
-// engine as owned, it has not been notified of the loss yet, so it has not reported its requests in flight either.
+// clearPreviousIfDrained clears the previous owner once none of its requests can be in flight. While the previous owner still reports
+// the engine as owned, it has not been notified of the loss yet, so it has not reported its requests in flight either.
 func (s *State) clearPreviousIfDrained(now time.Time, o *Ownership) {
 	if o.Previous == "" {
 		return
--- a/internal/coordinator/state_test.go
+++ b/internal/coordinator/state_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestReleaseOfOlderGrantIsIgnored repeats the release of an older grant after the engine was granted again.
+// TestReleaseOfOlderGrantIsIgnored sends the release of an older grant once more after the engine was granted again.
 func TestReleaseOfOlderGrantIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
@@ -71,8 +71,8 @@
 	c.Check(s.Map().Owners[0], qt.Equals, regranted)
 }
 
-// TestPreviousOwnerIsClearedAfterDraining checks that an engine that changes its owner keeps the previous owner in the map until that box
-// reports that it has no more requests in flight on the engine.
+// TestPreviousOwnerIsClearedAfterDraining checks that an engine that changes its owner keeps the previous owner in the map until that
+// box reports that it has no more requests in flight on the engine.
 func TestPreviousOwnerIsClearedAfterDraining(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(1000, 0)
--- a/internal/feed/feed.go
+++ b/internal/feed/feed.go
@@ -18,7 +18,7 @@
 )
 
 // Timings of a Feed. watchTimeout is how long a watch call waits for changes. pollInterval is the pause after a successful call
-// and the initial backoff. maxBackoff bounds the backoff after failures; the actual pause is a random 50 to 150 percent of it.
+// and the initial backoff. maxBackoff bounds the backoff after failures; the actual pause is a random 50 to 150 percent of the backoff.
 const (
 	watchTimeout = 20 * time.Second
 	pollInterval = 500 * time.Millisecond
@@ -43,8 +43,8 @@
 	Catalog *catalog.Catalog
 	// PickSource returns the source for the next call.
 	PickSource func() Source
-	// LostObjects returns the objects that other boxes hold and that the platform has lost. They are added to the catalog after the first list. It may
-	// be nil in tests.
+	// LostObjects returns the objects that other boxes hold and that the platform has lost. They are added to the catalog after the
+	// first list. It may be nil in tests.
 	LostObjects func(ctx context.Context) ([]objects.Object, error)
 	// Scope receives the counters of calls and failures.
 	Scope tally.Scope
--- a/internal/follow/confirm.go
+++ b/internal/follow/confirm.go
@@ -50,8 +50,8 @@
 	return confirmations
 }
 
-// ApplyConfirmations applies the ages that another box sent, after the changes sent with them were applied. The request for them was sent
-// at requestedAt.
+// ApplyConfirmations applies the ages that another box sent, after the changes sent with them were applied. The request for them was
+// sent at requestedAt.
 func (f *Follower) ApplyConfirmations(received map[string]objects.Confirmation, requestedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -93,7 +93,7 @@
 )
 
 // errInterrupted is the result of a call that was canceled because another call showed that it may never be answered. The
-// canceled call is repeated.
+// canceled call is retried.
 var errInterrupted = errors.New("follow: call interrupted")
 
 // errWatchCut is the result of a watch whose connection is lost while it waits, unless this happened to the previous watch too.
--- a/internal/follow/follow_test.go
+++ b/internal/follow/follow_test.go
@@ -34,9 +34,9 @@
 	history  []objects.Object
 	// oldestRevision is the revision before which the history is lost.
 	oldestRevision objects.Position
-	// silent makes watches wait for their whole time and return no changes.
-	silent bool
-	down   bool
+	// hidesChanges makes watches wait for their whole time and return no changes.
+	hidesChanges bool
+	down         bool
 	// hangTime is how long watches hang before they fail, zero if they do not hang.
 	hangTime time.Duration
 	// changed is closed at each change.
@@ -109,13 +109,13 @@
 	}
 	for {
 		s.mu.Lock()
-		changed, silent := s.changed, s.silent
+		changed, hidesChanges := s.changed, s.hidesChanges
 		ch, err := s.changesSince(kinds[0], from)
 		s.mu.Unlock()
-		if err != nil || (len(ch.Objects) > 0 && !silent) {
+		if err != nil || (len(ch.Objects) > 0 && !hidesChanges) {
 			return ch, err
 		}
-		if silent {
+		if hidesChanges {
 			changed = nil
 		}
 		select {
@@ -186,7 +186,7 @@
 func TestLostHistoryRelistsEveryKind(t *testing.T) {
 	setUp := func(c *qt.C, s *fakeStore) { s.put(c, resource.KindRouting, catalog.RoutingName, routing(1)) }
 	runFollower(t, setUp, func(c *qt.C, s *fakeStore, cat *catalog.Catalog) {
-		s.update(func(s *fakeStore) { s.silent = true })
+		s.update(func(s *fakeStore) { s.hidesChanges = true })
 		s.put(c, resource.KindRouting, catalog.RoutingName, routing(2))
 		s.update(func(s *fakeStore) { s.oldestRevision = s.revision })
 		time.Sleep(3 * time.Second)
--- a/internal/follow/kind_status.go
+++ b/internal/follow/kind_status.go
@@ -33,7 +33,7 @@
 	needsFull, needsCall bool
 	// needsCallSince is when needsCall was set.
 	needsCallSince time.Time
-	// All changes of the kind that the store acknowledged before confirmedAt are known here.
+	// confirmedAt is the time as of which the kind is confirmed: all changes that the store acknowledged before are known here.
 	confirmedAt time.Time
 }
 
--- a/internal/follow/relay_receive.go
+++ b/internal/follow/relay_receive.go
@@ -10,11 +10,11 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// A box that receives its changes from another box has the same objects as that box, except for expiring kinds. After an outage
-// of the store, each of the two boxes may keep objects that the other one has dropped. To correct this, the sending box repeats
-// its late deletions (lateChanges), and sends objects again that reappeared while it kept them (kindWatcher.reappeared). The
-// receiving box requests all objects of a kind (needsFull) if it keeps objects that the store no longer has (keptObjects), or
-// if it has received nothing for a while and has not listed the kind since (requestFullAfterGap).
+// A box that receives its changes from another box has the same objects as that box, except for expiring kinds. After an outage of
+// the store, each of the two boxes may keep objects that the other one has dropped. To correct this, the sending box sends its late
+// deletions more than once (lateChanges), and sends objects again that reappeared while it kept them (kindWatcher.reappeared). The
+// receiving box requests all objects of a kind (needsFull) if it keeps objects that the store no longer has (keptObjects), or if it
+// has received nothing for a while and has not listed the kind since (requestFullAfterGap).
 
 // isRelayed reports whether changes from another box replace calls.
 func (f *Follower) isRelayed(now time.Time) bool {
@@ -94,7 +94,7 @@
 	if starting {
 		f.dropCompanions()
 		f.requestFullForKept()
-		klog.V(1).InfoS("receiving changes with heartbeats; calls suspended", "store_age", storeAge)
+		klog.V(1).InfoS("receiving changes with heartbeats; no calls to the store", "store_age", storeAge)
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 // requestFullAfterGap requests all objects of the expiring kinds if no changes came from the other box for a while, unless this
-// box has listed them since. The other box repeats its late deletions only for lateChangeTTL, and nothing else would report
+// box has listed them since. The other box sends its late deletions only for lateChangeTTL, and nothing else would report
 // them.
 func (f *Follower) requestFullAfterGap(now time.Time) {
 	f.mu.Lock()
--- a/internal/follow/store.go
+++ b/internal/follow/store.go
@@ -22,7 +22,7 @@
 	lastAnswerAt time.Time
 	// regainedAt is when the last outage ended, zero if there was none.
 	regainedAt time.Time
-	// cancels holds the cancel functions of the calls that wait for changes.
+	// cancels holds the cancel functions of the calls that interruptAll cancels.
 	cancels map[uint64]context.CancelFunc
 	nextID  uint64
 }
@@ -31,8 +31,8 @@
 	return &storeState{scope: scope, cancels: map[uint64]context.CancelFunc{}}
 }
 
-// interruptibleContext returns a context that also ends when the store is lost or regained, so that a waiting call does not
-// outlast the network path that it uses.
+// interruptibleContext returns a context that also ends when the store is lost or regained, or when a kind finds that the
+// store has lost its history. A waiting call thus does not outlast the network path that it uses.
 func (s *storeState) interruptibleContext(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	s.mu.Lock()
@@ -61,14 +61,14 @@
 	klog.InfoS("store lost", "kind", kind, "err", err)
 }
 
-// interruptAll cancels all waiting calls.
+// interruptAll cancels all calls that use an interruptibleContext.
 func (s *storeState) interruptAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.interruptAllLocked()
 }
 
-// interruptAllLocked cancels all waiting calls. The caller holds the lock.
+// interruptAllLocked is interruptAll without locking. The caller holds the lock.
 func (s *storeState) interruptAllLocked() {
 	for _, cancel := range s.cancels {
 		cancel()
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -66,8 +66,8 @@
 	// lastToken is the token of this box's last write that is known to have taken effect.
 	lastToken string
 	// unconfirmedTokens holds the tokens of this box's latest writes whose outcome is unknown. Reading one of these tokens back shows that
-	// the write took effect. Without them, a holder with a slow store would mistake its own write for that of another box and give up the
-	// lease.
+	// the write took effect. Without them, a holder with a slow store would mistake its own write for that of another box and count the
+	// lease as lost.
 	unconfirmedTokens []string
 	// validUntil is when this box's tenure ends unless it is renewed. It is zero before the lease is acquired and after it is lost or
 	// released.
@@ -122,34 +122,34 @@
 // Version returns the last known version of the lease object.
 func (l *Lease) Version() objects.Position { return l.version }
 
-// ConfirmVersion records that at now the holder with the given epoch reported version as the newest version. If the epoch is that of the known
-// record, this is equivalent to reading the lease. Without it, the wait until the lease is free would begin only at the first unanswered
-// heartbeat.
+// ConfirmVersion records that at now the holder with the given epoch reported version as the newest version. If the epoch is that of
+// the known record, this is equivalent to reading the lease. Without it, the wait until the lease is free would begin only at the
+// first unanswered heartbeat.
 func (l *Lease) ConfirmVersion(now time.Time, epoch uint64, version objects.Position) {
 	if epoch == l.record.Epoch && version >= l.version {
 		l.version, l.changedAt = version, now
 	}
 }
 
-// UpdateFromReport records the state of the lease that another box has read. It is ignored if its version is not newer, or if its epoch is lower than
-// the known epoch.
+// UpdateFromReport records the state of the lease that another box has read. It is ignored if its version is not newer, or if its
+// epoch is lower than the known epoch.
 func (l *Lease) UpdateFromReport(r Record, version objects.Position) {
 	if version > l.version && r.Epoch >= l.record.Epoch {
 		l.setRecord(objects.Object{Version: version}, r)
 	}
 }
 
-// SetLaterHolder records the holder of a later epoch, which is known from an object that the holder has published. The lease record of that
-// epoch has not been read, so the known version stays the older one: this box cannot write the lease before the holder has reported its
-// version or the lease has been read.
+// SetLaterHolder records the holder of a later epoch, which is known from an object that the holder has published. The lease record
+// of that epoch has not been read, so the known version stays the older one: this box cannot write the lease before the holder has
+// reported its version or the lease has been read.
 func (l *Lease) SetLaterHolder(holder, address string, epoch uint64) {
 	if epoch > l.record.Epoch {
 		l.record, l.changedAt = Record{Holder: holder, Address: address, Epoch: epoch}, clock.Now()
 	}
 }
 
-// IsFree reports whether this box may acquire the lease: it was released or never existed and grace has passed, it has been unchanged for
-// TTL plus grace, or it belongs to this box's last process and Config.Reclaim is set.
+// IsFree reports whether this box may acquire the lease: it was released or never existed and grace has passed, it has been unchanged
+// for TTL plus grace, or it belongs to this box's last process and Config.Reclaim is set.
 func (l *Lease) IsFree(now time.Time, grace time.Duration) bool {
 	at, known := l.FreeAt(grace)
 	return known && !now.Before(at)
@@ -175,8 +175,8 @@
 	return l.writeRecord(ctx, Record{Holder: l.cfg.Holder, Address: l.cfg.Address, Epoch: max(l.record.Epoch, EpochBase(l.version.Era())) + 1})
 }
 
-// IsOwn reports whether the last known record was written by this box in the current era of the store. After the store was restored from
-// a copy it returns false, as another box may have held the lease since the copy was made.
+// IsOwn reports whether the last known record was written by this box in the current era of the store. After the store was restored
+// from a copy it returns false, as another box may have held the lease since the copy was made.
 func (l *Lease) IsOwn() bool {
 	return l.lastToken != "" && l.record.Token == l.lastToken && EraOf(l.record.Epoch) == l.version.Era()
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// TestFormerHolderCannotRenewAfterRefresh checks that a former holder that reads the new holder's record, and so knows its version, does
-// not overwrite it by a renewal.
+// TestFormerHolderCannotRenewAfterRefresh checks that a former holder that reads the new holder's record, and so knows its version,
+// does not overwrite it by a renewal.
 func TestFormerHolderCannotRenewAfterRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
@@ -68,7 +68,8 @@
 	})
 }
 
-// TestLostAnswersAreConfirmedByReading checks that writes whose answers are lost count as successful if reading back shows their tokens.
+// TestLostAnswersAreConfirmedByReading checks that writes whose answers are lost count as successful if reading back shows their
+// tokens.
 func TestLostAnswersAreConfirmedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/lease/unconfirmed_test.go
+++ b/internal/lease/unconfirmed_test.go
@@ -13,7 +13,8 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// lossyStore loses the answers of successful writes while failing is set. Reads fail then too, as they do after the caller's time limit.
+// lossyStore loses the answers of successful writes while failing is set. Reads fail then too, as they do after the caller's time
+// limit.
 type lossyStore struct {
 	objects.API
 	failing bool
--- a/internal/member/beat.go
+++ b/internal/member/beat.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return coordinator.Reply{}, err
 	}
-	n.addNews(b.Known, b.MapGeneration, &r.Updates)
+	n.addUpdates(b.Known, b.MapGeneration, &r.Updates)
 	return r, nil
 }
 
@@ -43,7 +43,7 @@
 		}
 		out.Answers = append(out.Answers, answer)
 	}
-	n.addNews(b.Known, b.MapGeneration, &out.Updates)
+	n.addUpdates(b.Known, b.MapGeneration, &out.Updates)
 	return out, nil
 }
 
@@ -70,8 +70,8 @@
 	return r, nil
 }
 
-// withStepTimeout limits the time of one step of a round. Each step has a limit of its own: a heartbeat to a frozen coordinator uses up its
-// limit, and must not keep this box from checking the lease.
+// withStepTimeout limits the time of one step of a round. Each step has a limit of its own: a heartbeat to a suspended coordinator
+// uses up its limit, and must not keep this box from checking the lease.
 func (n *Node) withStepTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, n.cfg.Timing.LeaseTTL/stepDivisor)
 }
@@ -91,7 +91,7 @@
 	b := n.omitUnchanged(full)
 	sentAt := clock.Now()
 	r, err := n.submitBeat(ctx, address, b)
-	n.recordStall(sentAt.Add(n.cfg.Timing.LeaseTTL / stepDivisor))
+	n.recordSuspension(sentAt.Add(n.cfg.Timing.LeaseTTL / stepDivisor))
 	if b.Base != 0 && hasCode(err, result.UnknownBase) {
 		b = full
 		b.Sequence = n.nextSequence()
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// adoptReportedLease records the lease state that an aggregator returns when it cannot reach the coordinator. Boxes that are not among the
-// first candidates for the lease then need not read it from the platform.
+// adoptReportedLease records the lease state that an aggregator returns when it cannot reach the coordinator. Boxes that are not
+// among the first candidates for the lease then need not read it from the platform.
 func (n *Node) adoptReportedLease(err error) {
 	var unreached coordinatorUnreachedError
 	if !errors.As(err, &unreached) {
@@ -136,8 +136,8 @@
 	return errors.As(err, &coded) && coded.Code == code
 }
 
-// callCoordinator sends a heartbeat to another box. It cancels the call when the map names a newer coordinator. A hanging old coordinator
-// could otherwise delay this box's first heartbeat to the new one until the new one counts this box as silent.
+// callCoordinator sends a heartbeat to another box. It cancels the call when the map names a newer coordinator. A hanging old
+// coordinator could otherwise delay this box's first heartbeat to the new one until the new one counts this box as silent.
 func (n *Node) callCoordinator(ctx context.Context, address string, b coordinator.Beat) (r coordinator.Reply, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var group errgroup.Group
@@ -153,8 +153,8 @@
 	return r, err
 }
 
-// awaitNewerCoordinator returns when the map names a newer coordinator, or when ctx ends. It may read n.lease because the loop, which owns
-// that field, waits for this call.
+// awaitNewerCoordinator returns when the map names a newer coordinator, or when ctx ends. It may read n.lease because the loop, which
+// owns that field, waits for this call.
 func (n *Node) awaitNewerCoordinator(ctx context.Context) {
 	for {
 		changed := n.cfg.Catalog.NextChange()
--- a/internal/member/cluster_test.go
+++ b/internal/member/cluster_test.go
@@ -72,8 +72,8 @@
 	stop    context.CancelFunc
 
 	mu sync.Mutex
-	// thawSignal is not nil while the box is frozen, and is closed when the box is thawed.
-	thawSignal           chan struct{}
+	// resumeSignal is not nil while the box is suspended, and is closed when the box resumes.
+	resumeSignal         chan struct{}
 	platformDisconnected bool
 	peersDisconnected    bool
 	// dropsAnswers simulates a store that is too slow for the box: the box's writes take effect without an answer, and its reads fail.
@@ -170,7 +170,7 @@
 func (cl *cluster) stopAll() {
 	cl.platform.SetFaults(fakeplatform.Faults{})
 	for _, n := range cl.runningNodes() {
-		n.thaw()
+		n.resume()
 		n.stop()
 	}
 	cl.c.Check(cl.group.Wait(), qt.ErrorIs, context.Canceled)
@@ -267,20 +267,20 @@
 	cl.c.Check(invariant.CheckEpochsIncrease(cl.history), qt.IsNil)
 }
 
-func (n *node) freeze() {
+func (n *node) suspend() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.thawSignal == nil {
-		n.thawSignal = make(chan struct{})
+	if n.resumeSignal == nil {
+		n.resumeSignal = make(chan struct{})
 	}
 }
 
-func (n *node) thaw() {
+func (n *node) resume() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.thawSignal != nil {
-		close(n.thawSignal)
-		n.thawSignal = nil
+	if n.resumeSignal != nil {
+		close(n.resumeSignal)
+		n.resumeSignal = nil
 	}
 }
 
@@ -290,13 +290,13 @@
 	n.platformDisconnected, n.peersDisconnected = fromPlatform, fromPeers
 }
 
-// waitWhileFrozen blocks while the box is frozen. Every call into or out of a box goes through it.
-func (n *node) waitWhileFrozen() {
+// waitWhileSuspended blocks while the box is suspended. Every call into or out of a box goes through it.
+func (n *node) waitWhileSuspended() {
 	n.mu.Lock()
-	thawed := n.thawSignal
+	resumed := n.resumeSignal
 	n.mu.Unlock()
-	if thawed != nil {
-		<-thawed
+	if resumed != nil {
+		<-resumed
 	}
 }
 
@@ -313,7 +313,7 @@
 }
 
 func (n *node) isPlatformDisconnected() bool {
-	n.waitWhileFrozen()
+	n.waitWhileSuspended()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.platformDisconnected
@@ -378,12 +378,12 @@
 }
 
 func (s peerSource) connect() (*node, error) {
-	s.node.waitWhileFrozen()
+	s.node.waitWhileSuspended()
 	to := s.node.cluster.nodeAt(s.address)
 	if to == nil || to.arePeersDisconnected() || s.node.arePeersDisconnected() {
 		return nil, errDisconnected
 	}
-	to.waitWhileFrozen()
+	to.waitWhileSuspended()
 	return to, nil
 }
 
@@ -397,7 +397,7 @@
 		return coordinator.Reply{}, err
 	}
 	r, err := to.Receive(ctx, b)
-	n.waitWhileFrozen()
+	n.waitWhileSuspended()
 	return r, err
 }
 
@@ -408,13 +408,13 @@
 		return coordinator.BatchReply{}, err
 	}
 	r, err := to.HandleBatch(b)
-	n.waitWhileFrozen()
+	n.waitWhileSuspended()
 	return r, err
 }
 
 // connect returns the box at an address if a message from this box can reach it.
 func (n *node) connect(ctx context.Context, address string) (*node, error) {
-	n.waitWhileFrozen()
+	n.waitWhileSuspended()
 	to := n.cluster.nodeAt(address)
 	n.cluster.mu.Lock()
 	n.cluster.messages++
@@ -426,10 +426,10 @@
 		return nil, errDisconnected
 	}
 	to.mu.Lock()
-	frozen := to.thawSignal != nil
+	suspended := to.resumeSignal != nil
 	to.mu.Unlock()
-	if frozen {
-		// A frozen box does not answer: the call ends at the caller's time limit.
+	if suspended {
+		// A suspended box does not answer: the call ends at the caller's time limit.
 		<-ctx.Done()
 		return nil, errDisconnected
 	}
@@ -462,7 +462,7 @@
 	}
 	o, err := n.cluster.platform.Get(ctx, kind, name)
 	time.Sleep(n.cluster.answerTime)
-	n.waitWhileFrozen()
+	n.waitWhileSuspended()
 	return o, err
 }
 
@@ -488,7 +488,7 @@
 	}
 	v, err := n.cluster.platform.Put(ctx, kind, name, expect, value)
 	time.Sleep(n.cluster.answerTime)
-	n.waitWhileFrozen()
+	n.waitWhileSuspended()
 	if n.isDroppingAnswers() && err == nil {
 		return 0, objects.ErrOutcomeUnknown
 	}
--- a/internal/member/coordinate.go
+++ b/internal/member/coordinate.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// takeoverDelay returns how long this box waits before it acquires a free lease. Boxes of a better rank go first, so that the members do not
-// all write at once after the loss of their coordinator.
+// takeoverDelay returns how long this box waits before it acquires a free lease. Boxes of a better rank go first, so that the members
+// do not all write at once after the loss of their coordinator.
 func (n *Node) takeoverDelay() time.Duration {
 	return time.Duration(n.candidateRank()) * n.cfg.Timing.Beat
 }
@@ -89,7 +89,7 @@
 func (n *Node) takeLease(ctx context.Context) (*coordinator.State, error) {
 	// If an earlier acquisition was not answered, or the map could not be read after it, the lease already names this box as the holder.
 	if holder := n.lease.Record().Holder; holder != n.cfg.Self.Box {
-		n.lapsedHolder = holder
+		n.expiredHolder = holder
 	}
 	if err := n.lease.Acquire(ctx); err != nil {
 		return nil, err
@@ -113,11 +113,11 @@
 	n.historyVersion = version
 	n.mu.Unlock()
 	n.cfg.Scope.Counter("leases_taken").Inc(1)
-	klog.InfoS("coordinating", "cell", n.cfg.Cell, "lease", epoch, "lapsed", n.lapsedHolder, "restored", restored, "generation", lastMap.Generation,
+	klog.InfoS("coordinating", "cell", n.cfg.Cell, "lease", epoch, "lapsed", n.expiredHolder, "restored", restored, "generation", lastMap.Generation,
 		"members", len(lastMap.Members), "engines", len(lastMap.Owners))
 	return coordinator.New(coordinator.Config{
 		Cell: n.cfg.Cell, Region: n.cfg.Region, Box: n.cfg.Self.Box, Lease: epoch, Term: n.cfg.Timing.Term, Drain: n.cfg.Timing.Drain, Started: clock.Now(),
-		SilentAfter: n.cfg.Timing.SilentAfter, InheritedSilentAfter: takeoverGraceBeats * n.cfg.Timing.Beat, OrderGap: n.cfg.Timing.OrderGap, Reclaim: n.cfg.Timing.Reclaim, ExpiredCoordinator: n.lapsedHolder,
+		SilentAfter: n.cfg.Timing.SilentAfter, InheritedSilentAfter: takeoverGraceBeats * n.cfg.Timing.Beat, OrderGap: n.cfg.Timing.OrderGap, Reclaim: n.cfg.Timing.Reclaim, ExpiredCoordinator: n.expiredHolder,
 		Restored: restored, LeaseTTL: n.cfg.Timing.LeaseTTL,
 	}, lastMap), nil
 }
@@ -200,14 +200,15 @@
 	return m
 }
 
-// publishMap writes the map if it differs from the stored one. The write is conditional on the last map, which stops a replaced coordinator
-// from overwriting the map of its successor.
+// publishMap writes the map if it differs from the stored one. The write is conditional on the last map, which stops a replaced
+// coordinator from overwriting the map of its successor.
 func (n *Node) publishMap(ctx context.Context, state *coordinator.State) error {
 	m := n.nextMap(state)
 	if state.IsCollecting(clock.Now()) || equalMaps(m, n.publishedMap) {
 		return nil
 	}
-	// After a change of the store's era the latest generations may be lost. Generations therefore start above all those of the earlier era.
+	// After a change of the store's era the latest generations may be lost. Generations therefore start above all those of the earlier
+	// era.
 	firstGeneration := int64(objects.NewPosition(lease.EraOf(m.Lease), 0))
 	m.Generation = max(firstGeneration, n.publishedMap.Generation, n.cfg.Catalog.Generation(coordinator.MapKind, n.cfg.Cell)) + 1
 	value, err := json.Marshal(m)
@@ -233,13 +234,14 @@
 	return nil
 }
 
-// recordStoredMap records that a map of this coordinator is stored: the newest one, or an earlier one whose write seemed to have failed.
+// recordStoredMap records that a map of this coordinator is stored: the newest one, or an earlier one whose write seemed to have
+// failed.
 func (n *Node) recordStoredMap(state *coordinator.State, m coordinator.Map, version objects.Position) {
 	before, isFirst := n.publishedMap, n.publishedMap.Lease != m.Lease
 	n.publishedVersion, n.publishedMap = version, m
 	n.cfg.Scope.Counter("map_writes").Inc(1)
 	if isFirst {
-		n.lapsedHolder = ""
+		n.expiredHolder = ""
 		n.takeoverGraceEnd = clock.Now().Add(takeoverGraceBeats*n.cfg.Timing.Beat + time.Millisecond)
 	}
 	n.mu.Lock()
@@ -250,9 +252,9 @@
 	n.history.Set(m)
 }
 
-// resolveMapWrite reads the map back when the result of a write is unknown or the stored map is not the expected one. If this coordinator
-// wrote the stored map earlier, without an answer, the map counts as published. Only a map of another coordinator ends this coordinator's
-// tenure, because ending it discards the knowledge of which boxes are present.
+// resolveMapWrite reads the map back when the result of a write is unknown or the stored map is not the expected one. If this
+// coordinator wrote the stored map earlier, without an answer, the map counts as published. Only a map of another coordinator ends
+// this coordinator's tenure, because ending it discards the knowledge of which boxes are present.
 func (n *Node) resolveMapWrite(ctx context.Context) (coordinator.Map, objects.Position, error) {
 	m, version, err := readMap(ctx, n.cfg.API, n.cfg.Cell)
 	if err != nil {
--- a/internal/member/forward.go
+++ b/internal/member/forward.go
@@ -15,22 +15,24 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// In a large cell boxes send their heartbeats through aggregators. These are ordinary boxes, chosen by a hash over the map. An aggregator keeps
-// no state for other boxes: it holds a heartbeat briefly, forwards it in a batch, and returns the coordinator's reply to the waiting box.
-// The term of a grant therefore still counts from when the box sent its heartbeat. A lost, frozen or disconnected aggregator costs its boxes
-// one wait: within the same round they use the next aggregator or send directly to the coordinator.
+// In a large cell boxes send their heartbeats through aggregators. These are ordinary boxes, chosen by a hash over the map. An
+// aggregator keeps no state for other boxes: it holds a heartbeat briefly, forwards it in a batch, and returns the coordinator's
+// reply to the waiting box. The term of a grant therefore still counts from when the box sent its heartbeat. A lost, suspended or
+// disconnected aggregator costs its boxes one wait: within the same round they send directly to the coordinator, and from the next
+// round on they use the next aggregator, if there is one.
 
 const (
-	// windowDivisor divides the heartbeat period: the result is how long an aggregator collects heartbeats before it sends a batch. Half a
-	// period collects the heartbeats of all its boxes in one batch: boxes whose heartbeats were answered together send the next ones half a
-	// period later, before a batch that another box began meanwhile is sent. With a quarter there were two or more batches in each period.
+	// windowDivisor divides the heartbeat period: the result is how long an aggregator collects heartbeats before it sends a batch. Half
+	// a period collects the heartbeats of all its boxes in one batch: boxes whose heartbeats were answered together send the next ones
+	// half a period later, before a batch that another box began meanwhile is sent. With a quarter there were two or more batches in
+	// each period.
 	windowDivisor = 2
 	// batchTimeoutBeats is the time limit of a call with a batch, in heartbeat periods. aggregatorTimeoutBeats is that of a heartbeat sent
 	// through an aggregator: the window, the batch, and some time for the aggregator itself.
 	batchTimeoutBeats      = 0.65
 	aggregatorTimeoutBeats = 1.2
-	// skipBeats is how many heartbeat periods an aggregator that did not answer is skipped. If it is lost, the map shows it as silent before
-	// that. refusedSkipBeats is the same for an aggregator that answered that it could not forward the heartbeat.
+	// skipBeats is how many heartbeat periods an aggregator that did not answer is skipped. If it is lost, the map shows it as silent
+	// before that. refusedSkipBeats is the same for an aggregator that answered that it could not forward the heartbeat.
 	skipBeats        = 10
 	refusedSkipBeats = 2
 )
@@ -144,7 +146,7 @@
 		return
 	}
 	n.cfg.Scope.Counter("beats_passed").Inc(int64(len(batch)))
-	n.applyNews(reply.Updates, sentAt)
+	n.applyUpdates(reply.Updates, sentAt)
 	n.mu.Lock()
 	n.lastBatchSize = len(batch)
 	n.mu.Unlock()
@@ -174,8 +176,8 @@
 	return reply, err
 }
 
-// buildForwardResult returns the result for one box: the coordinator's reply, with the changes that this box has and the other lacks. The
-// reply's store age is at least that of the coordinator's updates. It is larger if this box itself lacks some changes.
+// buildForwardResult returns the result for one box: the coordinator's reply, with the changes that this box has and the other lacks.
+// The reply's store age is at least that of the coordinator's updates. It is larger if this box itself lacks some changes.
 func (n *Node) buildForwardResult(b coordinator.Beat, a coordinator.Answer, storeAge time.Duration) forwardResult {
 	if a.Code != result.OK {
 		return forwardResult{err: result.New(a.Code, "heartbeat forwarded by %s", n.cfg.Self.Box)}
@@ -184,13 +186,13 @@
 	if b.Member.Box == n.cfg.Self.Box {
 		return forwardResult{reply: r}
 	}
-	n.addLocalNews(b, &r.Updates)
+	n.addLocalUpdates(b, &r.Updates)
 	r.StoreAge = max(r.StoreAge, storeAge)
 	return forwardResult{reply: r}
 }
 
-// addLocalNews adds the changes that this box knows and the sender of the heartbeat does not, whatever their source.
-func (n *Node) addLocalNews(b coordinator.Beat, updates *coordinator.Updates) {
+// addLocalUpdates adds the changes that this box knows and the sender of the heartbeat does not, whatever their source.
+func (n *Node) addLocalUpdates(b coordinator.Beat, updates *coordinator.Updates) {
 	m, version, known := n.cfg.Catalog.Map(n.cfg.Cell)
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -198,16 +200,17 @@
 		n.history.Set(m)
 		n.historyVersion = version
 	}
-	n.addNews(b.Known, b.MapGeneration, updates)
+	n.addUpdates(b.Known, b.MapGeneration, updates)
 }
 
-// unreachedReply answers a heartbeat that could not be forwarded. While the coordinator is unreachable, an aggregator reads the store itself
-// and sends the changes to its boxes. The number of platform calls in a takeover thus grows with the aggregators, not with the boxes.
+// unreachedReply answers a heartbeat that could not be forwarded. While the coordinator is unreachable, an aggregator reads the store
+// itself and sends the changes to its boxes. The number of platform calls in a takeover thus grows with the aggregators, not with the
+// boxes.
 func (n *Node) unreachedReply(b coordinator.Beat) coordinator.Reply {
 	n.cfg.Scope.Counter("beats_not_passed").Inc(1)
 	var r coordinator.Reply
 	if b.Member.Box != n.cfg.Self.Box {
-		n.addLocalNews(b, &r.Updates)
+		n.addLocalUpdates(b, &r.Updates)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -265,7 +268,7 @@
 	sentAt := clock.Now()
 	r, err := n.cfg.Peers.Beat(ctx, address, b)
 	if err == nil {
-		n.applyNews(r.Updates, sentAt)
+		n.applyUpdates(r.Updates, sentAt)
 	}
 	return r, err
 }
--- a/internal/member/large_test.go
+++ b/internal/member/large_test.go
@@ -58,9 +58,10 @@
 	return n.received
 }
 
-// TestBusiestBoxMessageRateIsBounded checks the load of the busiest box in a cell without faults, from 30 to 400 boxes. If all boxes sent
-// their heartbeats to one box, it would receive 1,000 messages per second at 400 boxes. The bound follows from 2.5 heartbeats per second
-// from at most twice as many boxes as the square root of the cell's size, because the hash does not distribute boxes evenly.
+// TestBusiestBoxMessageRateIsBounded checks the load of the busiest box in a cell without faults, from 30 to 400 boxes. If all boxes
+// sent their heartbeats to one box, it would receive 1,000 messages per second at 400 boxes. The bound follows from 2.5 heartbeats
+// per second from at most twice as many boxes as the square root of the cell's size, because the hash does not distribute boxes
+// evenly.
 func TestBusiestBoxMessageRateIsBounded(t *testing.T) {
 	const growthExponent = 0.5
 	var smallestRate float64
@@ -115,15 +116,16 @@
 	return len(hidden)
 }
 
-// TestLostAggregators checks the loss of aggregators of a cell with 120 boxes, in each of the ways in which boxes are lost. No other box may be
-// hidden from callers, engines of other boxes keep their owners, and no two boxes ever have authority over the same engine.
+// TestLostAggregators checks the loss of aggregators of a cell with 120 boxes, in each of the ways in which boxes are lost. No other
+// box may be hidden from callers, engines of other boxes keep their owners, and no two boxes ever have authority over the same
+// engine.
 func TestLostAggregators(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		lose func(cl *cluster, n *node)
 	}{
 		{"killed", func(cl *cluster, n *node) { cl.killBox(n.name) }},
-		{"frozen", func(_ *cluster, n *node) { n.freeze() }},
+		{"frozen", func(_ *cluster, n *node) { n.suspend() }},
 		{"disconnected from boxes", func(_ *cluster, n *node) { n.setDisconnected(false, true) }},
 		{"disconnected from the store", func(_ *cluster, n *node) { n.setDisconnected(true, false) }},
 	} {
@@ -145,7 +147,7 @@
 					}
 					cl.c.Check(cl.countHidden(6*time.Second, lost), qt.Equals, 0)
 					for _, n := range cl.runningNodes() {
-						n.thaw()
+						n.resume()
 						n.setDisconnected(false, false)
 					}
 					cl.waitUntil(20*time.Second, func() bool { return cl.countOwned() == len(cl.engines) })
@@ -156,8 +158,8 @@
 	}
 }
 
-// TestLossOfManyBoxes checks the simultaneous loss of a tenth, a fifth and half of 120 boxes, of a zone, and of the coordinator with all
-// aggregators. Every engine has an owner again within a term and the order gap between two owners, and never more than one owner.
+// TestLossOfManyBoxes checks the simultaneous loss of a tenth, a fifth and half of 120 boxes, of a zone, and of the coordinator with
+// all aggregators. Every engine has an owner again within a term and the order gap between two owners, and never more than one owner.
 func TestLossOfManyBoxes(t *testing.T) {
 	for _, test := range []struct {
 		name   string
@@ -193,9 +195,9 @@
 	}
 }
 
-// TestThawedAggregatorForwardsNoStaleHeartbeats covers a box that loses power while its aggregator is frozen and holds heartbeats of that box.
-// What the thawed aggregator reads is seconds old. It must not make the coordinator count the lost box as present.
-func TestThawedAggregatorForwardsNoStaleHeartbeats(t *testing.T) {
+// TestResumedAggregatorForwardsNoStaleHeartbeats covers a box that loses power while its aggregator is suspended and holds heartbeats
+// of that box. What the resumed aggregator reads is seconds old. It must not make the coordinator count the lost box as present.
+func TestResumedAggregatorForwardsNoStaleHeartbeats(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newLargeCluster(t, 120)
 		defer cl.stopAll()
@@ -210,15 +212,15 @@
 		}
 		lostNode := cl.nodeNamed(lost)
 		last := lostNode.lastBeat()
-		cl.nodeNamed(aggregatorName).freeze()
+		cl.nodeNamed(aggregatorName).suspend()
 		cl.killBox(lost)
 		time.Sleep(4 * time.Second)
-		thawedNode := cl.nodeNamed(aggregatorName)
-		thawedNode.thaw()
-		// The aggregator may read this heartbeat before or after it has detected its own stall.
+		resumedNode := cl.nodeNamed(aggregatorName)
+		resumedNode.resume()
+		// The aggregator may read this heartbeat before or after it has detected its own suspension.
 		last.PassOn, last.Sequence = true, last.Sequence+1
 		cl.group.Go(func() error {
-			_, err := thawedNode.Receive(cl.c.Context(), last)
+			_, err := resumedNode.Receive(cl.c.Context(), last)
 			cl.c.Check(err, qt.IsNotNil)
 			return nil
 		})
@@ -231,8 +233,8 @@
 	})
 }
 
-// TestFinalHeartbeatBypassesAggregator covers a planned stop in a large cell. A stopping box has half a second to give up its engines, so it
-// sends its last heartbeat directly to the coordinator.
+// TestFinalHeartbeatBypassesAggregator covers a planned stop in a large cell. A stopping box has half a second to release its
+// engines, so it sends its last heartbeat directly to the coordinator.
 func TestFinalHeartbeatBypassesAggregator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newLargeCluster(t, 120)
--- a/internal/member/lost_test.go
+++ b/internal/member/lost_test.go
@@ -17,7 +17,8 @@
 	"github.com/bellgap/bellgap/internal/member"
 )
 
-// maxShownTime is the longest time for which the maps of other boxes may show a lost box, so that callers are still sent to it. It adds up:
+// maxShownTime is the longest time for which the maps of other boxes may show a lost box, so that callers are still sent to it. It
+// adds up:
 //   - 1.2 s in which the coordinator may not notice the lost box before it is lost itself,
 //   - 1.1 s until the next box checks the lease (a heartbeat and its time limit),
 //   - 2 s for which the lease has to stand unchanged before that box acquires it,
@@ -34,8 +35,8 @@
 	return cl
 }
 
-// TestLostBoxIsHiddenInTime loses a box and, before or after it, the coordinator, so that no box may have noticed the silence of the first one
-// yet. The maps have to hide both boxes in time and must never hide a running box.
+// TestLostBoxIsHiddenInTime loses a box and, before or after it, the coordinator, so that no box may have noticed the silence of the
+// first one yet. The maps have to hide both boxes in time and must never hide a running box.
 func TestLostBoxIsHiddenInTime(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -56,7 +57,7 @@
 				synctest.Test(t, func(t *testing.T) {
 					cl := newCalmCluster(t, 4*time.Millisecond, seed)
 					defer cl.stopAll()
-					lost := cl.freezeBoxAndCoordinator(tt.coordinatorDelay, tt.boxDelay)
+					lost := cl.suspendBoxAndCoordinator(tt.coordinatorDelay, tt.boxDelay)
 					shownFor, hidden := cl.observeMaps(lost, 12*time.Second)
 					for _, box := range lost {
 						c.Check(shownFor[box.name] <= maxShownTime, qt.IsTrue, qt.Commentf("seed %d: lost box %s is shown for %s", seed, box.name, shownFor[box.name]))
@@ -105,7 +106,7 @@
 					defer cl.stopAll()
 					holder := cl.coordinator()
 					lost := lostBox{cl.otherNode(holder).name, time.Now()}
-					cl.nodes[lost.name].freeze()
+					cl.nodes[lost.name].suspend()
 					var group errgroup.Group
 					group.Go(func() error {
 						tt.disturb(cl, holder)
@@ -126,18 +127,18 @@
 	at   time.Time
 }
 
-// freezeBoxAndCoordinator freezes a box and the coordinator, which has the effect of a power loss. One of the two times is zero: the other is
-// the delay between both losses and decides their order.
-func (cl *cluster) freezeBoxAndCoordinator(coordinatorDelay, boxDelay time.Duration) []lostBox {
+// suspendBoxAndCoordinator suspends a box and the coordinator, which has the effect of a power loss. One of the two times is zero:
+// the other is the delay between both losses and decides their order.
+func (cl *cluster) suspendBoxAndCoordinator(coordinatorDelay, boxDelay time.Duration) []lostBox {
 	second := cl.coordinator()
 	first := cl.otherNode(second)
 	if boxDelay > 0 {
 		first, second = second, first
 	}
 	lost := []lostBox{{first.name, time.Now()}}
-	first.freeze()
+	first.suspend()
 	time.Sleep(max(coordinatorDelay, boxDelay))
-	second.freeze()
+	second.suspend()
 	return append(lost, lostBox{second.name, time.Now()})
 }
 
@@ -156,8 +157,8 @@
 	return cl.nodes[n.name]
 }
 
-// observeMaps observes the maps of the running boxes for a time d. It returns how long after its loss each lost box was still shown, and how
-// often a running box was hidden.
+// observeMaps observes the maps of the running boxes for a time d. It returns how long after its loss each lost box was still shown,
+// and how often a running box was hidden.
 func (cl *cluster) observeMaps(lost []lostBox, d time.Duration) (shownFor map[string]time.Duration, hidden int) {
 	const interval = 50 * time.Millisecond
 	lostAt := map[string]time.Time{}
@@ -186,8 +187,8 @@
 	return shownFor, hidden
 }
 
-// TestTakeoverHidesNoReachableBox loses a coordinator while the store is slow. Before the new coordinator counts boxes as lost, they need
-// time to learn of it, read the lease and send it a heartbeat.
+// TestTakeoverHidesNoReachableBox loses a coordinator while the store is slow. Before the new coordinator counts boxes as lost, they
+// need time to learn of it, read the lease and send it a heartbeat.
 func TestTakeoverHidesNoReachableBox(t *testing.T) {
 	for _, answerTime := range []time.Duration{4 * time.Millisecond, 150 * time.Millisecond, 220 * time.Millisecond, 260 * time.Millisecond} {
 		t.Run(answerTime.String(), func(t *testing.T) {
@@ -197,7 +198,7 @@
 					cl := newCalmCluster(t, answerTime, seed)
 					defer cl.stopAll()
 					lost := lostBox{cl.coordinator().name, time.Now()}
-					cl.nodes[lost.name].freeze()
+					cl.nodes[lost.name].suspend()
 					_, hidden := cl.observeMaps([]lostBox{lost}, 10*time.Second)
 					c.Check(hidden, qt.Equals, 0, qt.Commentf("seed %d", seed))
 				})
@@ -206,8 +207,9 @@
 	}
 }
 
-// TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover covers a box that acquires the lease with a write that takes effect without an answer. The
-// box finds itself as the holder when it tries again. The map must still show the former holder, whose lease expired, as silent.
+// TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover covers a box that acquires the lease with a write that takes effect without
+// an answer. The box finds itself as the holder when it tries again. The map must still show the former holder, whose lease expired,
+// as silent.
 func TestExpiredCoordinatorIsHiddenAfterUnansweredTakeover(t *testing.T) {
 	for _, dropTime := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond} {
 		t.Run(dropTime.String(), func(t *testing.T) {
@@ -215,7 +217,7 @@
 				cl := newCalmCluster(t, 4*time.Millisecond, 0)
 				defer cl.stopAll()
 				old := cl.coordinator()
-				old.freeze()
+				old.suspend()
 				for cl.storedLeaseHolder() == old.name {
 					time.Sleep(time.Millisecond)
 				}
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -111,20 +111,20 @@
 	}
 }
 
-func TestFrozenCoordinatorIsReplaced(t *testing.T) {
+func TestSuspendedCoordinatorIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 3, 6)
 		defer cl.stopAll()
 		cl.waitForOwners()
 		cl.advance(20 * time.Second)
-		frozen := cl.coordinator()
-		frozen.freeze()
+		suspended := cl.coordinator()
+		suspended.suspend()
 		took := cl.waitUntil(ownershipTimeout, func() bool {
 			c := cl.coordinator()
-			return c != nil && c != frozen && cl.countOwned() == len(cl.engines)
+			return c != nil && c != suspended && cl.countOwned() == len(cl.engines)
 		})
-		t.Logf("frozen coordinator replaced after %s", took)
-		frozen.thaw()
+		t.Logf("suspended coordinator replaced after %s", took)
+		suspended.resume()
 		cl.advance(20 * time.Second)
 		cl.checkInvariants()
 	})
@@ -161,7 +161,7 @@
 	})
 }
 
-// TestFaultsNeverCreateTwoAuthorities kills, freezes and disconnects boxes and takes the platform down, separately and in combination.
+// TestFaultsNeverCreateTwoAuthorities kills, suspends and disconnects boxes and takes the platform down, separately and in combination.
 func TestFaultsNeverCreateTwoAuthorities(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
@@ -174,7 +174,7 @@
 				cl.advance(time.Duration(r.IntN(12000)) * time.Millisecond)
 			}
 			for _, n := range cl.runningNodes() {
-				n.thaw()
+				n.resume()
 				n.setDisconnected(false, false)
 			}
 			cl.platform.SetFaults(fakeplatform.Faults{})
@@ -190,9 +190,9 @@
 	n := cl.runningNodes()[r.IntN(len(cl.runningNodes()))]
 	switch r.IntN(9) {
 	case 0:
-		n.freeze()
+		n.suspend()
 	case 1, 2:
-		n.thaw()
+		n.resume()
 	case 3:
 		n.setDisconnected(true, r.IntN(2) == 0)
 	case 4:
@@ -204,7 +204,7 @@
 	case 7:
 		cl.platform.SetFaults(fakeplatform.Faults{})
 	case 8:
-		n.thaw()
+		n.resume()
 		cl.killBox(n.name)
 		cl.startBox(n.name, 100+step)
 	}
--- a/internal/member/node.go
+++ b/internal/member/node.go
@@ -91,15 +91,16 @@
 	boxListBeats = 2
 	// stepDivisor divides the lease TTL: the result is the time limit of one step of a round.
 	stepDivisor = 3
-	// leaseCheckDivisor divides the lease TTL: the result is the time between two lease checks of a box that is not among the first candidates.
+	// leaseCheckDivisor divides the lease TTL: the result is the time between two lease checks of a box that is not among the first
+	// candidates.
 	leaseCheckDivisor = 2
-	// renewThreshold is the fraction of the lease TTL: a lease with less time left is renewed.
+	// renewThreshold is a fraction of the lease TTL: a lease with less time left is renewed.
 	renewThreshold = 0.7
 	// missedBeats is how many heartbeats may go unanswered before the coordinator counts as unreachable.
 	missedBeats = 3
 	// takeoverGraceBeats is how many heartbeats after a takeover a box may send nothing before callers are no longer sent to it. The map
-	// notifies all boxes of the takeover, so that each sends a heartbeat within one period. A box that sends none may have been lost seconds
-	// before the old coordinator, which had not noticed the loss yet.
+	// notifies all boxes of the takeover, so that each sends a heartbeat within one period. A box that sends none may have been lost
+	// seconds before the old coordinator, which had not noticed the loss yet.
 	takeoverGraceBeats = 2
 )
 
@@ -126,8 +127,8 @@
 	beatEpoch  uint64
 	// checkedLeaseEpoch is the newest epoch that a map named and for which this box has checked the lease.
 	checkedLeaseEpoch uint64
-	// lapsedHolder is the box whose lease expired before this box acquired it. It is cleared once a map of this coordinator is stored.
-	lapsedHolder string
+	// expiredHolder is the box whose lease expired before this box acquired it. It is cleared once a map of this coordinator is stored.
+	expiredHolder string
 	// lastGrants holds the grants of the last reply. lastFullBeat describes the last complete heartbeat that was answered.
 	lastGrants   []coordinator.Ownership
 	lastFullBeat fullBeat
@@ -150,8 +151,8 @@
 	leaving   bool
 	frozen    bool
 	lastReply time.Time
-	// history holds the latest maps that this coordinator published or, on other boxes, that this box sends to others. historyVersion is the
-	// version of the newest one.
+	// history holds the latest maps that this coordinator published or, on other boxes, that this box sends to others. historyVersion is
+	// the version of the newest one.
 	history        coordinator.History
 	historyVersion objects.Position
 	// aggregator names the box that forwarded the last heartbeat. lastBatchSize is the size of the last batch, for the status.
@@ -195,7 +196,7 @@
 	Cell        string `json:"cell"`
 	Coordinator string `json:"coordinator"`
 	Coordinates bool   `json:"coordinates"`
-	// Frozen is set if the coordinator cannot renew its lease: no engine changes its owner.
+	// Frozen is the value of Reply.Frozen in the last reply: that reply neither extended nor changed grants.
 	Frozen bool `json:"frozen"`
 	// SinceReply is the time since the last reply of the coordinator.
 	SinceReply time.Duration `json:"since_reply"`
@@ -262,15 +263,16 @@
 	return ctx.Err()
 }
 
-// delayFirstRound spreads the first heartbeats of a new cell's boxes over one period, so that most boxes find a coordinator and do not all
-// write the lease at once. No delay is needed in a cell that has a map: it has a coordinator, or the map orders the candidates for the lease.
+// delayFirstRound spreads the first heartbeats of a new cell's boxes over one period, so that most boxes find a coordinator and do
+// not all write the lease at once. No delay is needed in a cell that has a map: it has a coordinator, or the map orders the
+// candidates for the lease.
 func (n *Node) delayFirstRound(ctx context.Context) {
 	if _, _, known := n.cfg.Catalog.Map(n.cfg.Cell); !known {
 		part.Sleep(ctx, rand.N(n.cfg.Timing.Beat))
 	}
 }
 
-// releaseAuthority gives up the engines and the lease of a leaving box, so that other boxes need not wait for them to expire.
+// releaseAuthority releases the engines and the lease of a leaving box, so that other boxes need not wait for them to expire.
 func (n *Node) releaseAuthority(ctx context.Context) {
 	if n.Leaving() && n.cfg.Timing.Reclaim {
 		n.releaseAllEngines()
@@ -299,8 +301,8 @@
 	}
 }
 
-// IsHandedOver reports whether the cell map no longer names this box: neither as the owner of an engine nor as a previous owner that may still
-// have requests in flight.
+// IsHandedOver reports whether the cell map no longer names this box: neither as the owner of an engine nor as a previous owner that
+// may still have requests in flight.
 func (n *Node) IsHandedOver() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 	return !slices.ContainsFunc(m.Owners, func(o coordinator.Ownership) bool {
@@ -320,7 +322,8 @@
 	return n.frozen
 }
 
-// updateLeaseView copies the loop's lease state for readers outside the loop and sets the coordinator state, nil if this box does not coordinate.
+// updateLeaseView copies the loop's lease state for readers outside the loop and sets the coordinator state, nil if this box does not
+// coordinate.
 func (n *Node) updateLeaseView(state *coordinator.State) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/member/restore_test.go
+++ b/internal/member/restore_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestAuthorityAfterStoreRestore restores the store from a copy that lacks the last takeovers. It guards against two boxes with authority over
-// the same engine, and against epochs that are given out twice.
+// TestAuthorityAfterStoreRestore restores the store from a copy that lacks the last takeovers. It guards against two boxes with
+// authority over the same engine, and against epochs that are assigned twice.
 func TestAuthorityAfterStoreRestore(t *testing.T) {
 	for snapshotAge := 500 * time.Millisecond; snapshotAge <= 14*time.Second; snapshotAge += 900 * time.Millisecond {
 		for _, nextFaultDelay := range []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second, 9 * time.Second} {
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestLargeCellAfterStoreRestore restores the store from an older copy, without any other fault. It guards against boxes behind aggregators that
-// lose their engines or are hidden from callers.
+// TestLargeCellAfterStoreRestore restores the store from an older copy, without any other fault. It guards against boxes behind
+// aggregators that lose their engines or are hidden from callers.
 func TestLargeCellAfterStoreRestore(t *testing.T) {
 	for _, snapshotAge := range []time.Duration{300 * time.Millisecond, 1700 * time.Millisecond, 4 * time.Second} {
 		t.Run(snapshotAge.String(), func(t *testing.T) {
--- a/internal/member/round.go
+++ b/internal/member/round.go
@@ -13,14 +13,14 @@
 	"github.com/bellgap/bellgap/internal/part"
 )
 
-// waitForNextRound waits until the next round is due. It returns early when a new map assigns an engine to this box for which it has no grant.
-// It returns at once when there is a coordinator to which this box has not sent a heartbeat yet.
+// waitForNextRound waits until the next round is due. It returns early when a new map assigns an engine to this box for which it has
+// no grant. It returns at once when there is a coordinator to which this box has not sent a heartbeat yet.
 func (n *Node) waitForNextRound(ctx context.Context) {
 	delay := n.nextRoundDelay()
 	due := clock.Now().Add(delay)
 	next := time.NewTimer(delay)
 	defer next.Stop()
-	defer func() { n.recordStall(due) }()
+	defer func() { n.recordSuspension(due) }()
 	for {
 		changed := n.cfg.Catalog.NextChange()
 		if n.hasNewerCoordinator() || n.hasNewLease() {
@@ -40,8 +40,8 @@
 	}
 }
 
-// nextRoundDelay returns the time to the next round: one heartbeat period, or less if this box may acquire the lease earlier, or if this box is a
-// new coordinator that has to hide the boxes without heartbeats earlier.
+// nextRoundDelay returns the time to the next round: one heartbeat period, or less if this box may acquire the lease earlier, or if
+// this box is a new coordinator that has to hide the boxes without heartbeats earlier.
 func (n *Node) nextRoundDelay() time.Duration {
 	delay := n.cfg.Timing.Beat - time.Duration(rand.Int64N(int64(n.cfg.Timing.Beat/10)+1))
 	if _, ok := n.currentAggregator(); ok {
@@ -71,7 +71,8 @@
 	})
 }
 
-// runRound renews the lease and publishes the map if this box coordinates. It then sends one heartbeat, and checks the lease if that fails.
+// runRound renews the lease and publishes the map if this box coordinates. It then sends one heartbeat, and checks the lease if that
+// fails.
 func (n *Node) runRound(ctx context.Context) {
 	if state := n.coordinatorState(); state != nil {
 		n.coordinate(ctx, state)
@@ -113,8 +114,9 @@
 	return known && n.lastLeaseCheck.Before(freeAt) && !now.Before(freeAt)
 }
 
-// leaseCheckInterval returns the time between two checks of the lease while the coordinator does not answer. The first candidates for the
-// lease check it in every round. Other boxes wait long enough for a candidate to acquire the lease, because each check is a billed platform call.
+// leaseCheckInterval returns the time between two checks of the lease while the coordinator does not answer. The first candidates for
+// the lease check it in every round. Other boxes wait long enough for a candidate to acquire the lease, because each check is a
+// billed platform call.
 func (n *Node) leaseCheckInterval() time.Duration {
 	if n.lease.Record().Holder == "" || n.candidateRank() < maxCandidates {
 		return 0
@@ -122,9 +124,10 @@
 	return n.cfg.Timing.LeaseTTL / leaseCheckDivisor
 }
 
-// nextTakeoverTime returns when this box may acquire the lease of a coordinator that does not answer or cannot renew it. There is no such time
-// if this box is not one of the first candidates or if the time has passed. Waits are cut short at this time: a hanging heartbeat and the
-// delay after it would add up to a second to every takeover, and a coordinator that the store rejects would keep its cell for two lease TTLs.
+// nextTakeoverTime returns when this box may acquire the lease of a coordinator that does not answer or cannot renew it. There is no
+// such time if this box is not one of the first candidates or if the time has passed. Waits are cut short at this time. Otherwise a
+// hanging heartbeat and the delay after it would add up to a second to every takeover, and a coordinator that the store rejects would
+// keep its cell for two lease TTLs.
 func (n *Node) nextTakeoverTime() (time.Time, bool) {
 	if (!n.beatMissed && !n.isFrozen()) || n.candidateRank() >= maxCandidates {
 		return time.Time{}, false
@@ -133,15 +136,16 @@
 	return at, known && clock.Now().Before(at)
 }
 
-// hasNewerCoordinator reports whether the cell map names a coordinator that is newer than the one this box knows, and the lease has not been
-// checked since. Heartbeats to the old coordinator would only time out, and the new one counts boxes as lost that send it no heartbeat.
+// hasNewerCoordinator reports whether the cell map names a coordinator that is newer than the one this box knows, and the lease has
+// not been checked since. Heartbeats to the old coordinator would only time out, and the new one counts boxes as lost that send it no
+// heartbeat.
 func (n *Node) hasNewerCoordinator() bool {
 	m, _, ok := n.cfg.Catalog.Map(n.cfg.Cell)
 	return ok && m.Lease > max(n.checkedLeaseEpoch, n.lease.Record().Epoch)
 }
 
-// followMapCoordinator switches to the coordinator that the map names, if the map contains its address. Without this, every box would read the
-// lease after each takeover.
+// followMapCoordinator switches to the coordinator that the map names, if the map contains its address. Without this, every box would
+// read the lease after each takeover.
 func (n *Node) followMapCoordinator() bool {
 	m, _, _ := n.cfg.Catalog.Map(n.cfg.Cell)
 	index := slices.IndexFunc(m.Members, func(b coordinator.Member) bool { return b.Box == m.Coordinator })
@@ -157,17 +161,18 @@
 // hasNewLease reports whether the recorded lease has changed its epoch since a heartbeat was missed.
 func (n *Node) hasNewLease() bool { return n.beatMissed && n.lease.Record().Epoch != n.beatEpoch }
 
-// recordStall records a stall of this process if a wait has ended far too late. Messages that the process reads afterwards may be old.
-func (n *Node) recordStall(due time.Time) {
+// recordSuspension records a suspension of this process if a wait has ended far too late. Messages that the process reads afterwards
+// may be old.
+func (n *Node) recordSuspension(due time.Time) {
 	now := clock.Now()
 	if now.Sub(due) < n.cfg.Timing.Beat {
 		return
 	}
 	n.cfg.Scope.Counter("stalls").Inc(1)
-	klog.InfoS("this process was stalled", "cell", n.cfg.Cell, "for", now.Sub(due), "suspended_in_all", clock.Suspended())
+	klog.InfoS("this process was suspended", "cell", n.cfg.Cell, "for", now.Sub(due), "suspended_in_all", clock.Suspended())
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.collector.RecordStall(now)
+	n.collector.RecordSuspension(now)
 	if n.state != nil {
 		n.state.CorrectForSuspension(now, now.Sub(due))
 	}
--- a/internal/member/spread.go
+++ b/internal/member/spread.go
@@ -16,7 +16,8 @@
 	KnownRevisions() map[string]objects.Position
 	// ChangesSince returns the changes that this box has beyond known, and the time since the store last answered it.
 	ChangesSince(known map[string]objects.Position) ([]objects.KindChanges, time.Duration)
-	// MaySend reports whether a message of size bytes may be sent to another box now. If not, that box has to read the change from the platform.
+	// MaySend reports whether a message of size bytes may be sent to another box now. If not, that box has to read the change from the
+	// platform.
 	MaySend(size int) bool
 	// ApplyChanges applies changes that the coordinator has sent.
 	ApplyChanges(changes []objects.KindChanges, storeAge time.Duration)
@@ -26,8 +27,8 @@
 	ApplyConfirmations(ages map[string]objects.Confirmation, askedAt time.Time)
 }
 
-// addNews adds to a reply the changes that the receiving box does not have yet. The caller holds the lock.
-func (n *Node) addNews(known map[string]objects.Position, knownGeneration int64, updates *coordinator.Updates) {
+// addUpdates adds to a reply the changes that the receiving box does not have yet. The caller holds the lock.
+func (n *Node) addUpdates(known map[string]objects.Position, knownGeneration int64, updates *coordinator.Updates) {
 	if n.cfg.Spread == nil || known == nil {
 		return
 	}
@@ -46,8 +47,8 @@
 	updates.Map = &delta
 }
 
-// applyNews applies the changes in another box's reply to a message that was sent at sentAt.
-func (n *Node) applyNews(updates coordinator.Updates, sentAt time.Time) {
+// applyUpdates applies the changes in another box's reply to a message that was sent at sentAt.
+func (n *Node) applyUpdates(updates coordinator.Updates, sentAt time.Time) {
 	if n.cfg.Spread == nil {
 		return
 	}
--- a/internal/member/spread_test.go
+++ b/internal/member/spread_test.go
@@ -34,8 +34,8 @@
 // ApplyConfirmations implements member.Spread.
 func (s *fakeSpread) ApplyConfirmations(map[string]objects.Confirmation, time.Time) {}
 
-// TestMapUpdatesAreBounded sends a coordinator heartbeats of boxes that have maps of different generations. It checks which boxes are sent a
-// map, and that others are asked to read it from the platform if the message would be too large.
+// TestMapUpdatesAreBounded sends a coordinator heartbeats of boxes that have maps of different generations. It checks which boxes are
+// sent a map, and that others are asked to read it from the platform if the message would be too large.
 func TestMapUpdatesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 0, 40)
--- a/internal/member/unanswered_test.go
+++ b/internal/member/unanswered_test.go
@@ -13,9 +13,9 @@
 	"github.com/bellgap/bellgap/internal/objects"
 )
 
-// TestUnansweredWritesKeepCoordinator covers a slow store: a coordinator's writes take effect without an answer, and it cannot read them back
-// in time. The coordinator used to mistake its own stored state for that of another coordinator. It then gave up, acquired its own lease again
-// as if it were new, and lost the record of which boxes were silent.
+// TestUnansweredWritesKeepCoordinator covers a slow store: a coordinator's writes take effect without an answer, and it cannot read
+// them back in time. The coordinator used to mistake its own stored state for that of another coordinator. It then ended its tenure,
+// acquired its own lease again as if it were new, and lost the record of which boxes were silent.
 func TestUnansweredWritesKeepCoordinator(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestUnansweredMapIsSentAsStored checks that the coordinator sends a map whose write was not answered with the generation of the stored map. A
-// box that has read the map from the store then receives no map. With a different generation, all boxes received the whole map with each
-// heartbeat.
+// TestUnansweredMapIsSentAsStored checks that the coordinator sends a map whose write was not answered with the generation of the
+// stored map. A box that has read the map from the store then receives no map. With a different generation, all boxes received the
+// whole map with each heartbeat.
 func TestUnansweredMapIsSentAsStored(t *testing.T) {
 	for _, dropTime := range []time.Duration{500 * time.Millisecond, time.Second, 1500 * time.Millisecond} {
 		t.Run(dropTime.String(), func(t *testing.T) {
--- a/internal/member/visibility.go
+++ b/internal/member/visibility.go
@@ -7,7 +7,8 @@
 	"github.com/bellgap/bellgap/internal/coordinator"
 )
 
-// visibility is the state of a box in a cell map that decides whether callers are sent to it. It is the value of the metric tag "standing".
+// visibility is the state of a box in a cell map that decides whether callers are sent to it. It is the value of the metric tag
+// "standing".
 type visibility string
 
 // The possible visibilities of a box. Callers are sent only to boxes that are shown.
--- a/internal/objects/client.go
+++ b/internal/objects/client.go
@@ -26,7 +26,7 @@
 type ClientConfig struct {
 	// Address is the platform's host:port.
 	Address string
-	// HTTP sends the calls. Its transport must never repeat a write.
+	// HTTP sends the calls. Its transport must never retry a write.
 	HTTP *http.Client
 }
 
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// NewTransportError returns the error for a call without a usable response: ErrOutcomeUnknown for a write that was sent, ErrUnavailable for
-// any other call.
+// NewTransportError returns the error for a call without a usable response: ErrOutcomeUnknown for a write that was sent,
+// ErrUnavailable for any other call.
 func NewTransportError(method string, sent bool, err error) error {
 	if method != http.MethodGet && sent {
 		return eris.Wrap(ErrOutcomeUnknown, err.Error())
--- a/internal/objects/objects.go
+++ b/internal/objects/objects.go
@@ -55,7 +55,8 @@
 	// IsFullList is set if Objects contains all objects of the kind.
 	IsFullList bool     `json:"full,omitempty"`
 	Objects    []Object `json:"objects,omitempty"`
-	// MustRefetch is set, without Objects, if the changes of the kind are too large to be relayed. The receiver must request them from the store.
+	// MustRefetch is set, without Objects, if the changes of the kind are too large to be relayed. The receiver must request them from
+	// the store.
 	MustRefetch bool `json:"ask,omitempty"`
 }
 
@@ -63,8 +64,8 @@
 type Confirmation struct {
 	// Revision is the position up to which the sender has all changes of the kind.
 	Revision Position `json:"revision"`
-	// Age is how long ago, when the message was made, the data at Revision included everything that the store had acknowledged of the kind.
-	// It is measured from before the request to the store, so it may be too high but never too low.
+	// Age is how long ago, when the message was made, the data at Revision included everything that the store had acknowledged of the
+	// kind. It is measured from before the request to the store, so it may be too high but never too low.
 	Age time.Duration `json:"age"`
 }
 
@@ -89,8 +90,8 @@
 	Get(ctx context.Context, kind, name string) (Object, error)
 	// List returns a page of the objects of the kinds. For the first page, after is empty; for other pages, it is Next of the page before.
 	List(ctx context.Context, kinds []string, after string) (Changes, error)
-	// Watch waits up to wait for changes of the kinds after from and returns them, or no changes if there were none. It returns ErrGone if the
-	// caller must call List, for example because from is of an earlier era.
+	// Watch waits up to wait for changes of the kinds after from and returns them, or no changes if there were none. It returns ErrGone
+	// if the caller must call List, for example because from is of an earlier era.
 	Watch(ctx context.Context, kinds []string, from Position, wait time.Duration) (Changes, error)
 	// Put writes the value if the object's version is expect, and returns the new version. If expect has no revision, the object must not
 	// exist.
--- a/internal/objects/position.go
+++ b/internal/objects/position.go
@@ -11,9 +11,9 @@
 // eraShift is the lowest bit of the era in a Position. An era has room for 2^40 revisions, and JSON numbers are exact up to 8,191 eras.
 const eraShift = 40
 
-// Position is a place in the store's history: an era and a revision within that era. The store begins a new era when it is restored from an
-// older copy, and then reuses revisions of earlier eras. Positions are in the order of the history, so <, > and max compare them. The zero
-// Position is before all others. Only clients of the store use revisions without an era.
+// Position is a place in the store's history: an era and a revision within that era. The store begins a new era when it is restored
+// from an older copy, and then reuses revisions of earlier eras. Positions are in the order of the history, so <, > and max compare
+// them. The zero Position is before all others. Only clients of the store use revisions without an era.
 type Position int64
 
 // NewPosition returns the position of a revision in an era.
@@ -25,8 +25,8 @@
 // Revision returns the revision within the era.
 func (p Position) Revision() int64 { return int64(p) & (1<<eraShift - 1) }
 
-// HasRevision reports whether the position is the position of a change. A position without a revision stands for an object that does not exist
-// in the era.
+// HasRevision reports whether the position is the position of a change. A position without a revision stands for an object that does
+// not exist in the era.
 func (p Position) HasRevision() bool { return p.Revision() != 0 }
 
 // String returns the position as "era/revision", or as the revision alone if the era is zero.
--- a/internal/objects/position_test.go
+++ b/internal/objects/position_test.go
@@ -26,7 +26,7 @@
 		era, revision := rapid.Int64Range(0, 1<<20).Draw(t, "era"), rapid.Int64Range(0, 1<<39).Draw(t, "revision")
 		p := objects.NewPosition(era, revision)
 		if p.Era() != era || p.Revision() != revision {
-			t.Fatalf("At(%d, %d) returned position %s", era, revision, p)
+			t.Fatalf("NewPosition(%d, %d) returned position %s", era, revision, p)
 		}
 		if q, err := objects.ParsePosition(p.String()); err != nil || q != p {
 			t.Fatalf("position %s was parsed as %s, error %v", p, q, err)
--- a/internal/repair/repair.go
+++ b/internal/repair/repair.go
@@ -83,8 +83,8 @@
 	klog.InfoS("lost object written back to the platform", "kind", o.Kind, "name", o.Name)
 }
 
-// shouldWrite reports whether the platform has lost the state of o: it lacks an object that exists, or still has one that was deleted, or has an
-// older generation. The flag missing is set if the platform has no such object.
+// shouldWrite reports whether the platform has lost the state of o: it lacks an object that exists, or still has one that was
+// deleted, or has an older generation. The flag missing is set if the platform has no such object.
 func shouldWrite(o, stored objects.Object, missing bool) bool {
 	if missing {
 		return !o.Deleted
--- a/internal/repair/repair_test.go
+++ b/internal/repair/repair_test.go
@@ -107,8 +107,8 @@
 	})
 }
 
-// TestChangesSurvivePlatformRestore restores the platform from an older copy, with and without a new era. It guards against changes that are
-// undone by the restore.
+// TestChangesSurvivePlatformRestore restores the platform from an older copy, with and without a new era. It guards against changes
+// that are undone by the restore.
 func TestChangesSurvivePlatformRestore(t *testing.T) {
 	for _, test := range []struct {
 		name    string
