--- a/internal/relay/candidates.go
+++ b/internal/relay/candidates.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// maxCandidates is how many engines are asked for one request, unless its adapter version is crowded: all engines
-	// that have the version locally are too busy to start the request in time.
+	// maxCandidates bounds the engines that are asked for one request, unless its adapter version is crowded. A version
+	// is crowded if all engines that have it locally are too busy to start the request in time.
 	maxCandidates = 6
 	// maxCandidatesCrowded bounds the engines that are asked if the version is crowded. The most popular adapter
 	// receives a fifth of all requests. At 500 requests per second and 12 slots per engine, these need about 15 engines.
@@ -38,12 +38,12 @@
 	// failedRecently is set if requests recently failed at the engine, sameZone if the engine is in this box's zone.
 	failedRecently bool
 	sameZone       bool
-	// rateExhausted is set if the engine's rate leaves nothing for the request.
+	// rateExhausted is set if the engine's rate limit leaves nothing for the request.
 	rateExhausted bool
 }
 
 // candidates returns the engines for an adapter version in the order in which they are asked. It omits the engines in
-// avoid.
+// avoid, and those that are leaving, are paused or have exhausted their rate limit.
 func (r *Relay) candidates(q *request, ref resource.Ref, avoid map[string]bool) []candidate {
 	t := r.cfg.Catalog.Topology()
 	now := clock.Now()
@@ -51,7 +51,7 @@
 	var names []string
 	for _, e := range t.Endpoints[q.service] {
 		view, declared := t.Engines[e.Name]
-		if !declared || e.Spec.Leaving || avoid[e.Name] || view.Spec.BaseModel != q.head.Model || r.isResting(e) {
+		if !declared || e.Spec.Leaving || avoid[e.Name] || view.Spec.BaseModel != q.head.Model || r.isPaused(e) {
 			continue
 		}
 		if r.isRateExhausted(q, e.Name) {
@@ -79,7 +79,8 @@
 }
 
 // orderCandidates returns ranked candidates in the order in which they are asked. The first maxCandidates come first,
-// then other candidates that hold the version, then the remaining ones, and last those that failed recently.
+// then other candidates that hold the version, then the remaining ones, and last those that failed recently. At most
+// maxCandidatesCrowded are returned.
 //
 // If the version is crowded, all candidates that hold it come first: those in this box's zone before the others, and
 // otherwise in random order. This spreads the requests over these engines without asking the full ones first.
--- a/internal/relay/choose.go
+++ b/internal/relay/choose.go
@@ -31,9 +31,9 @@
 	// ownerSearchInterval.
 	ownerSearchShare    = 0.5
 	ownerSearchInterval = 60 * time.Millisecond
-	// pressedAfter is how many engines are asked before a request that none of them can start in time is marked as
-	// pressed.
-	pressedAfter = 3
+	// othersTooSlowAfter is how many engines are asked before OthersTooSlow may be set for the next ones: none of the
+	// engines asked so far can start the request in time. With fewer candidates, it may be set for the last one.
+	othersTooSlowAfter = 3
 	// urgencyBase converts ranks to urgencies: the urgency is urgencyBase minus the rank. Rank 0 goes first, and so does
 	// the highest urgency.
 	urgencyBase = 10
@@ -96,8 +96,8 @@
 }
 
 // chooseEngineOnce asks the owners of the candidates for a grant. It takes the first engine that has the adapter
-// version locally and can start the request soon. Otherwise it takes the best offer. If no owner answers, it takes an
-// engine that is listed as holding the version.
+// version locally and can start the request soon. Otherwise it takes the best offer. Without any offer, for example
+// because no owner answers, it takes an engine that is listed as holding the version.
 //
 // More than maxCandidates engines are asked only while all engines that have the version locally are too busy to
 // start the request in time.
@@ -108,7 +108,7 @@
 			return nil, rerr
 		}
 	}
-	req := r.newAsk(q, ref)
+	req := r.newGrantRequest(q, ref)
 	req.MaxWait, req.LocalOnly = shareOf(q.route.Objective, acceptWaitShare), r.cfg.Policy.IsEnabled(policy.CopyLimit)
 	offers := r.newOffers(q)
 	lastErr := result.New(result.NoEngine, "%s of %s", q.head.Model, q.service)
@@ -119,7 +119,7 @@
 			break
 		}
 		c := &candidates[i]
-		req.OthersTooSlow = offers.noneInTime() && i >= min(pressedAfter, len(candidates)-1)
+		req.OthersTooSlow = offers.noneInTime() && i >= min(othersTooSlowAfter, len(candidates)-1)
 		engine, rerr := r.acquireGrant(ctx, q, c, req)
 		if rerr == nil {
 			return engine, nil
@@ -206,8 +206,8 @@
 	return rerr.Code == result.TryNext || rerr.Code == result.Crowded
 }
 
-// newAsk returns what the owner of an engine needs to decide about a request.
-func (r *Relay) newAsk(q *request, ref resource.Ref) grant.Request {
+// newGrantRequest returns what the owner of an engine needs to decide about a request.
+func (r *Relay) newGrantRequest(q *request, ref resource.Ref) grant.Request {
 	a := grant.Request{
 		Urgency: q.urgency(), Customer: q.customerName(), Hold: q.timeLeft() + grantSlack, Prompt: q.head.Prompt, Output: q.head.expectedOutput(), Parts: q.head.Parts,
 		StartIn: min(q.timeLeft(), time.Duration(maxStartObjectives*float64(q.route.Objective))-clock.Since(q.receivedAt)),
@@ -241,14 +241,14 @@
 	if c.owner.Box == "" || c.owner.Box == r.cfg.Box {
 		return nil, result.New(result.NotOwner, "%s has no owner at present", c.name)
 	}
-	if r.silentBoxes.Has(c.owner.Box, clock.Now()) {
+	if r.unresponsiveBoxes.Has(c.owner.Box, clock.Now()) {
 		return nil, result.New(result.OwnerSilent, "%s recently did not answer", c.owner.Box)
 	}
 	g, err := r.cfg.Grants.Acquire(ctx, c.owner.Peer, req)
 	if err != nil {
 		rerr := result.From(err, result.OwnerSilent)
 		if rerr.Code == result.OwnerSilent {
-			r.silentBoxes.Add(c.owner.Box, clock.Now())
+			r.unresponsiveBoxes.Add(c.owner.Box, clock.Now())
 		}
 		return nil, rerr
 	}
@@ -268,8 +268,8 @@
 	return &chosenEngine{name: c.name, address: c.address, started: c.started, reportFirstToken: g.RecordFirstToken, release: g.Release}, nil
 }
 
-// chooseWithoutOwner picks an engine that is listed as holding the adapter version while no owner can be asked.
-// Sending a request needs no authority, and an engine that does not hold the version refuses the request without
+// chooseWithoutOwner picks an engine that is listed as holding the adapter version, if no owner has granted or offered
+// one. Sending a request needs no authority, and an engine that does not hold the version refuses the request without
 // running it.
 func (r *Relay) chooseWithoutOwner(candidates []candidate, ref resource.Ref) *chosenEngine {
 	if !r.cfg.Policy.IsEnabled(policy.SendWithoutOwner) {
--- a/internal/relay/choose_test.go
+++ b/internal/relay/choose_test.go
@@ -68,8 +68,8 @@
 	arrived [2]atomic.Int64
 }
 
-// startTwoEngines starts the engines, and their owner, which calls answer for each request for a grant and onEnd for
-// each report of ended grants.
+// startTwoEngines starts two engines and the box that owns them. That box calls answer for each request for a grant, and
+// onEnd for each report of ended grants.
 func startTwoEngines(c *qt.C, answer func(w *twoEngines, rw http.ResponseWriter, req *grant.Request), onEnd func(body string)) *twoEngines {
 	w := &twoEngines{c: c, catalog: catalog.New(), engines: map[string]*resource.Endpoint{}}
 	owners := coordinator.Map{Cell: "c", Generation: 1}
--- a/internal/relay/health.go
+++ b/internal/relay/health.go
@@ -12,8 +12,8 @@
 	// avoidThreshold is the decayed count of failures from which an endpoint is chosen last. Two failures in quick
 	// succession reach it.
 	avoidThreshold = 1.5
-	// silentBoxTTL is how long a box that did not answer is not asked again.
-	silentBoxTTL = time.Second
+	// unresponsivePeriod is how long a box that did not answer is not asked again.
+	unresponsivePeriod = time.Second
 	// maxTrackedEndpoints bounds the endpoints that are tracked.
 	maxTrackedEndpoints = 4096
 )
--- a/internal/relay/holdings.go
+++ b/internal/relay/holdings.go
@@ -20,7 +20,8 @@
 	engine string
 }
 
-// holdings records which engines answered for which adapter versions, for times when no owner can be asked.
+// holdings records which engines answered for which adapter versions. These engines count as holding the versions, in
+// addition to those that discovery lists, also while no owner can be asked.
 type holdings struct {
 	mu         sync.Mutex
 	answeredAt map[holdingKey]time.Time
--- a/internal/relay/identify.go
+++ b/internal/relay/identify.go
@@ -96,7 +96,8 @@
 // route.
 func (q *request) rank() int { return q.customer.Rank(q.route.Priority) }
 
-// urgency returns the priority of the request as owners and keepers count it: the highest goes first.
+// urgency returns the priority of the request as owners and keepers count it: the highest goes first. A keeper is the
+// box that counts the requests at a plain endpoint.
 func (q *request) urgency() int { return urgencyBase - q.rank() }
 
 // chargeUnits charges the units of a request to the quota of its customer.
--- a/internal/relay/identify_test.go
+++ b/internal/relay/identify_test.go
@@ -25,7 +25,7 @@
 
 // TestConfigurationAgeLimits sends known and unknown keys while the configuration has different ages.
 func TestConfigurationAgeLimits(t *testing.T) {
-	const keysFor, unknownFor = 5 * time.Second, 3 * time.Second
+	const maxAgeForKeys, maxAgeForUnknown = 5 * time.Second, 3 * time.Second
 	now := time.Now()
 	for _, test := range []struct {
 		name string
@@ -36,12 +36,12 @@
 		want            result.Code
 	}{
 		{name: "fresh", confirmedBefore: time.Second, key: "k1", want: result.OK},
-		{name: "as old as allowed", confirmedBefore: keysFor, key: "k1", want: result.OK},
-		{name: "older", confirmedBefore: keysFor + time.Millisecond, key: "k1", want: result.ConfigOld},
+		{name: "as old as allowed", confirmedBefore: maxAgeForKeys, key: "k1", want: result.OK},
+		{name: "older", confirmedBefore: maxAgeForKeys + time.Millisecond, key: "k1", want: result.ConfigOld},
 		{name: "configuration confirmed while the request waited", confirmedBefore: -time.Second, key: "k1", want: result.OK},
 		{name: "configuration never confirmed", neverConfirmed: true, key: "k1", want: result.ConfigOld},
 		{name: "unknown key, fresh configuration", confirmedBefore: time.Second, key: "k2", want: result.Unauthorized},
-		{name: "unknown key that may have been added since", confirmedBefore: unknownFor + time.Millisecond, key: "k2", want: result.ConfigOld},
+		{name: "unknown key that may have been added since", confirmedBefore: maxAgeForUnknown + time.Millisecond, key: "k2", want: result.ConfigOld},
 		{name: "unknown key, configuration never confirmed", neverConfirmed: true, key: "k2", want: result.ConfigOld},
 		{name: "no key", confirmedBefore: time.Second, want: result.Unauthorized},
 	} {
@@ -49,7 +49,7 @@
 			c := qt.New(t)
 			cat := catalog.New()
 			putObject(c, cat, 1, string(resource.KindRouting), catalog.RoutingName, keyedRouting(map[string]string{"k1": "mill"}))
-			r := New(Config{Catalog: cat, AgeLimits: ConfigAgeLimits{MaxForKeys: keysFor, MaxForUnknown: unknownFor, ConfirmedAt: func() time.Time {
+			r := New(Config{Catalog: cat, AgeLimits: ConfigAgeLimits{MaxForKeys: maxAgeForKeys, MaxForUnknown: maxAgeForUnknown, ConfirmedAt: func() time.Time {
 				if test.neverConfirmed {
 					return time.Time{}
 				}
--- a/internal/relay/logsampler.go
+++ b/internal/relay/logsampler.go
@@ -6,7 +6,7 @@
 )
 
 // servedLinesPerSecond bounds the log lines per second for served requests. This is enough to log every request of a
-// quiet box, and limits the processor time for logging on a busy one.
+// box with little load, and limits the processor time for logging on a busy one.
 const servedLinesPerSecond = 20
 
 // logSampler allows a limited number of log lines per second and counts the skipped ones.
--- a/internal/relay/model.go
+++ b/internal/relay/model.go
@@ -20,14 +20,14 @@
 	// firstVersion is the version of an adapter that has never been replaced.
 	firstVersion = 1
 	// maxStartObjectives is how many objectives a request may wait for its start. With a higher value, late requests
-	// take the place of requests that could still be in time. With a lower one, more requests are refused than are
-	// gained in time.
+	// take the place of requests that could still be in time. With a lower one, more requests are refused than
+	// additionally answered in time.
 	maxStartObjectives = 1.5
 	// grantSlack is added to the time that a request has left to get the lifetime of its grant.
 	grantSlack = time.Second
 	// firstEventObjectives is how many objectives a resumable stream may take until its first event. eventTimeout is the
-	// longest time between two events. After that, the stream is resumed at another engine. Callers hang up after two
-	// seconds at the earliest.
+	// longest time between two events. A stream that takes longer is resumed at another engine. Callers hang up after
+	// two seconds at the earliest.
 	firstEventObjectives = 2
 	eventTimeout         = time.Second
 )
@@ -51,7 +51,7 @@
 
 // serveModel answers a request from an engine that holds its adapter version.
 func (r *Relay) serveModel(ctx context.Context, out *output, q *request) *result.Error {
-	return r.delayRetryUntilRestEnds(q, r.tryEngines(ctx, out, q))
+	return r.delayRetryUntilPauseEnds(q, r.tryEngines(ctx, out, q))
 }
 
 // tryEngines sends a request to one engine after another until one of them has answered it.
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -16,9 +16,10 @@
 // listed in discovery a second or two after they have started. The retries are spread over the same time again.
 const allLeavingRetryAfter = time.Second
 
-// restRetrySpread is the time over which the retries of callers that found all endpoints paused are spread. It
-// begins at the end of the first pause. An endpoint is paused while it has asked this box to send no requests.
-const restRetrySpread = time.Second
+// pauseRetrySpread is the time over which the retries of callers that found all endpoints paused are spread. It
+// begins when the first of these pauses ends. An endpoint is paused for the time in which it wants no requests from
+// this box, according to its Retry-After.
+const pauseRetrySpread = time.Second
 
 // noticeEndpoint returns the name and start of the endpoint, by which its notices are stored.
 func (d destination) noticeEndpoint() notice.Endpoint {
@@ -50,9 +51,9 @@
 	}
 }
 
-// checkNotices returns an error if the notices of an endpoint forbid sending it a request. It is called right before
-// each send, because a request may have waited after its endpoint was chosen, or after an owner or a keeper admitted
-// it.
+// checkNotices returns an error if the notices of an endpoint forbid sending it a request. Otherwise the request counts
+// as sent. checkNotices is called right before each send: the notices may have changed since the endpoint was chosen,
+// or since an owner or a keeper admitted the request.
 func (r *Relay) checkNotices(to destination) *result.Error {
 	now := clock.Now()
 	if r.cfg.Notices.IsLeaving(now, to.noticeEndpoint()) {
@@ -69,10 +70,10 @@
 	return rerr
 }
 
-// isResting reports whether an endpoint has asked this box to send no requests at present. Other boxes were not
-// asked, so they continue to send. A request at this box is not passed on to them, because the load on the endpoint
+// isPaused reports whether an endpoint currently wants no requests from this box. The pause does not apply to other
+// boxes, which continue to send. A request at this box is not forwarded to them, because the load on the endpoint
 // would be the same.
-func (r *Relay) isResting(e catalog.EndpointView) bool {
+func (r *Relay) isPaused(e catalog.EndpointView) bool {
 	return r.cfg.Notices.HasEntries() && r.cfg.Notices.RemainingPause(clock.Now(), notice.Endpoint{Name: e.Name, Started: e.Spec.Started}) > 0
 }
 
@@ -100,7 +101,7 @@
 	switch {
 	case paused.count > 0:
 		rerr := result.New(result.EndpointResting, "%s", q.service)
-		rerr.RetryAfter = paused.shortestWait + rand.N(restRetrySpread)
+		rerr.RetryAfter = paused.shortestWait + rand.N(pauseRetrySpread)
 		return rerr
 	case total > 0:
 		// Endpoints that are leaving may end at any moment, so they get no new requests, and waiting for them is useless.
@@ -112,9 +113,9 @@
 	}
 }
 
-// delayRetryUntilRestEnds replaces the error of a request that did not run if no endpoint is available now. A retry
-// before the end of the first pause would be refused again.
-func (r *Relay) delayRetryUntilRestEnds(q *request, rerr *result.Error) *result.Error {
+// delayRetryUntilPauseEnds replaces the error of a request that did not run, if all endpoints are leaving or paused.
+// The new error delays the caller's retry until the first pause ends, since an earlier retry would be refused again.
+func (r *Relay) delayRetryUntilPauseEnds(q *request, rerr *result.Error) *result.Error {
 	if rerr == nil || q.possibleRuns > 0 || (rerr.Code != result.BackendRefused && rerr.Code != result.EndpointResting) {
 		return rerr
 	}
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestNoticesOfOtherEndpointsAreIgnored guards against recording a rate limit, a pause or a leave from an answer that
-// does not come from the requested endpoint.
+// TestNoticesOfOtherEndpointsAreIgnored guards against recording notices from an answer that does not come from the
+// requested endpoint: a rate limit, a pause, or that the endpoint is leaving.
 func TestNoticesOfOtherEndpointsAreIgnored(t *testing.T) {
 	c := qt.New(t)
 	rates := ratelimit.NewRegistry(ratelimit.RegistryConfig{Boxes: func() int { return 1 }, Scope: tally.NoopScope})
--- a/internal/relay/offers.go
+++ b/internal/relay/offers.go
@@ -52,9 +52,8 @@
 // best returns the best offer, nil if there is none.
 //
 // All engines share the bandwidth of the weight store. Another copy is therefore loaded only if it serves the request
-// in time and the engines that have the version locally do not, or all of them would make the request wait much
-// longer. A large difference is
-// required because the estimates for busy engines are often too short.
+// in time, and the engines that have the version locally either do not or would make it wait much longer. A large
+// difference is required because the estimates for busy engines are often too short.
 func (o *offers) best() *offer {
 	switch {
 	case o.local == nil:
--- a/internal/relay/plain.go
+++ b/internal/relay/plain.go
@@ -20,8 +20,8 @@
 	// maxArrivals bounds the endpoints that a request is sent to, including those that refuse it.
 	maxArrivals = 4
 	// maxConnectFailures bounds the additional tries at endpoints where nothing listens. Such tries cause no load and do
-	// not count as retries. On a day on which a sixth of the engines crashed, 417 requests failed at a crashed engine,
-	// most of them because the retry budget was used up.
+	// not count as retries. When they did, 417 requests failed at a crashed engine on a day on which a sixth of the
+	// engines crashed, most of them because the retry budget was used up.
 	maxConnectFailures = 4
 )
 
@@ -37,11 +37,11 @@
 	for q.canSend() {
 		retry, rerr := r.tryPlain(ctx, out, q, tried, lastErr)
 		if !retry {
-			return r.delayRetryUntilRestEnds(q, rerr)
+			return r.delayRetryUntilPauseEnds(q, rerr)
 		}
 		lastErr = rerr
 	}
-	return r.delayRetryUntilRestEnds(q, lastErr)
+	return r.delayRetryUntilPauseEnds(q, lastErr)
 }
 
 // tryPlain tries one endpoint. lastErr is the error of the previous try. retry reports whether another endpoint may
@@ -97,7 +97,7 @@
 			q.rateLimited.add(0)
 			continue
 		}
-		place, refusal := r.cfg.Places.Acquire(ctx, r.newPlaceAsk(q, e))
+		place, refusal := r.cfg.Places.Acquire(ctx, r.newPlaceRequest(q, e))
 		switch {
 		case place != nil:
 			return e, place, nil
@@ -112,8 +112,8 @@
 	}
 }
 
-// newPlaceAsk returns the request for a place, which goes to the box that counts the requests at the endpoint.
-func (r *Relay) newPlaceAsk(q *request, e catalog.EndpointView) places.Request {
+// newPlaceRequest returns the request for a place at an endpoint. It is sent to the keeper of the endpoint.
+func (r *Relay) newPlaceRequest(q *request, e catalog.EndpointView) places.Request {
 	a := places.Request{
 		Endpoint: e.Name, Started: e.Spec.Started, Slots: e.Spec.Slots, MaxLatency: shareOf(q.route.Objective, plainAnswerShare) - clock.Since(q.receivedAt), Hold: q.timeLeft(),
 		Urgency: q.urgency(), Customer: q.customerName(),
@@ -167,9 +167,9 @@
 	return q.route.Idempotent() && q.possibleRuns < q.route.Attempts && rerr.Code != result.CallerGone
 }
 
-// choosePlainEndpoint chooses among the endpoints that have not been tried. While no request with the same
-// fingerprint has run well, it returns the endpoint of the first such request in flight. Otherwise it returns the
-// endpoint with the fewest failures and requests in flight.
+// choosePlainEndpoint chooses among the endpoints that have not been tried and are neither leaving nor paused. While no
+// request with the same fingerprint has run well, it prefers the endpoint of the first such request in flight.
+// Otherwise it returns the endpoint with the fewest failures and requests in flight.
 func (r *Relay) choosePlainEndpoint(q *request, tried map[string]bool) (catalog.EndpointView, bool) {
 	type scoredEndpoint struct {
 		view  catalog.EndpointView
@@ -179,7 +179,7 @@
 	sharedEndpoint := r.endpointOfFirst(q)
 	var scoredEndpoints []scoredEndpoint
 	for _, e := range r.cfg.Catalog.Topology().Endpoints[q.service] {
-		if e.Spec.Leaving || tried[e.Name] || r.isResting(e) {
+		if e.Spec.Leaving || tried[e.Name] || r.isPaused(e) {
 			continue
 		}
 		if e.Name == sharedEndpoint {
--- a/internal/relay/rates.go
+++ b/internal/relay/rates.go
@@ -26,7 +26,7 @@
 }
 
 // forwardRateToOwner sends the rate limit of an engine to the engine's owner at once, because the end of a stream may
-// be seconds away. The box that counts the requests at a plain endpoint receives the limit when this request ends.
+// be seconds away. The keeper of a plain endpoint receives the limit when this request ends.
 func (r *Relay) forwardRateToOwner(engine string, report ratelimit.Report) {
 	if runner, ok := r.cfg.Owners.Get(engine); ok {
 		runner.UpdateRate(report)
@@ -37,23 +37,23 @@
 	}
 }
 
-// exhaustedRate identifies an endpoint whose rate left nothing for requests of one urgency.
+// exhaustedRate identifies an endpoint whose rate limit left nothing for requests of one urgency.
 type exhaustedRate struct {
 	endpoint string
 	urgency  int
 }
 
 // exhaustedRateTTL is how long an endpoint is not asked again for requests of the same urgency. Otherwise, with
-// hundreds of callers, every box would ask for each of their requests. Capacity that becomes free in this time is
-// saved up.
+// hundreds of callers, every box would ask for each of their requests. Capacity that becomes free in this time is not
+// lost, because it is saved up.
 const exhaustedRateTTL = 100 * time.Millisecond
 
-// isRateExhausted reports whether an endpoint's rate recently left nothing for requests with this request's urgency.
+// isRateExhausted reports whether an endpoint's rate limit recently left nothing for requests of the same urgency.
 func (r *Relay) isRateExhausted(q *request, endpoint string) bool {
 	return r.cfg.Rates.HasReports() && r.exhaustedRates.Has(exhaustedRate{endpoint, q.urgency()}, clock.Now())
 }
 
-// markRateExhausted records that an endpoint's rate left nothing for a request.
+// markRateExhausted records that an endpoint's rate limit left nothing for a request.
 func (r *Relay) markRateExhausted(q *request, endpoint string) {
 	r.exhaustedRates.Add(exhaustedRate{endpoint, q.urgency()}, clock.Now())
 }
@@ -71,14 +71,14 @@
 	s.count++
 }
 
-// addRateLimited counts an endpoint that was asked and has no capacity left in its rate.
+// addRateLimited counts an endpoint whose rate limit has no capacity left according to its owner.
 func (q *request) addRateLimited(rerr *result.Error) {
 	q.rateLimited.add(rerr.RetryAfter)
 	q.rateLimitedAsks++
 }
 
-// spreadRetry sets when to retry a request that no endpoint could take because of its rate. It returns other errors
-// unchanged.
+// spreadRetry sets when to retry a request that no endpoint could take because of its rate limit. It returns other
+// errors unchanged.
 func (r *Relay) spreadRetry(q *request, rerr *result.Error) *result.Error {
 	if rerr == nil || rerr.Code != result.RateLimited {
 		return rerr
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -71,7 +71,7 @@
 	AgeLimits ConfigAgeLimits
 	// Quarantine identifies the requests that are sent to no endpoint because endpoints crashed while running them.
 	Quarantine *quarantine.Client
-	// Rates holds the request rates, in requests per second, that endpoints reported as their limits.
+	// Rates holds the rate limits that endpoints reported, in requests per second.
 	Rates *ratelimit.Registry
 	// Notices holds the other notices of endpoints: that they are leaving, or that they request a pause.
 	Notices *notice.Board
@@ -82,11 +82,11 @@
 	cfg      Config
 	inFlight atomic.Int64
 	health   *health
-	// silentBoxes holds the boxes that recently did not answer. crowdedRefs holds the adapter versions that recently had
+	// unresponsiveBoxes holds the boxes that recently did not answer. crowdedRefs holds the adapter versions that recently had
 	// requests waiting at all their engines.
-	silentBoxes *recent.Set[string]
-	crowdedRefs *recent.Set[resource.Ref]
-	// exhaustedRates holds the endpoints whose rate recently left nothing for requests of one urgency.
+	unresponsiveBoxes *recent.Set[string]
+	crowdedRefs       *recent.Set[resource.Ref]
+	// exhaustedRates holds the endpoints whose rate limit recently left nothing for requests of one urgency.
 	exhaustedRates *recent.Set[exhaustedRate]
 	budgets        *budgets
 	sampler        *logSampler
@@ -98,7 +98,7 @@
 func New(cfg Config) *Relay {
 	return &Relay{
 		cfg: cfg, health: newHealth(), budgets: newBudgets(cfg.Budget), sampler: &logSampler{}, holdings: newHoldings(), firstRequests: newFirstRequests(),
-		silentBoxes: recent.New[string](silentBoxTTL), crowdedRefs: recent.New[resource.Ref](crowdedTTL), exhaustedRates: recent.New[exhaustedRate](exhaustedRateTTL),
+		unresponsiveBoxes: recent.New[string](unresponsivePeriod), crowdedRefs: recent.New[resource.Ref](crowdedTTL), exhaustedRates: recent.New[exhaustedRate](exhaustedRateTTL),
 	}
 }
 
@@ -120,8 +120,8 @@
 	arrivals     int
 	// connectFailures counts the endpoints that could not be reached, for example because nothing listened there.
 	connectFailures int
-	// rateLimited counts the endpoints that were skipped because of their rates. rateLimitedAsks counts those of them
-	// that were asked.
+	// rateLimited counts the endpoints that were skipped because of their rate limits. rateLimitedAsks counts those of
+	// them whose owners were asked.
 	rateLimited     refusals
 	rateLimitedAsks int
 	// customer is the customer that sent the request, nil where callers need no key. keyDigest is the digest of the key.
