--- a/internal/notice/board.go
+++ b/internal/notice/board.go
@@ -30,8 +30,8 @@
 	// sent. Dozens of requests may be waiting for the end of the pause, and the answer to the first shows whether the endpoint
 	// accepts more.
 	probeTimeout = time.Second
-	// probeRetention is how long after its pause an endpoint stays limited to one request at a time if no request is sent to it:
-	// without requests there are no answers that could end the limit.
+	// probeRetention is how long after its pause an endpoint stays limited to one request at a time if no answer ends the limit.
+	// Without requests to the endpoint, there are no such answers.
 	probeRetention = 30 * time.Second
 	// reusedNameRetention replaces leavingRetention for endpoints whose incarnations cannot be distinguished. After it, one
 	// request finds out whether the endpoint is still leaving.
@@ -108,15 +108,15 @@
 }
 
 // remainingWait returns how long no further request may be sent.
-func (r pausedEntry) remainingWait(now time.Time) time.Duration {
-	if now.Before(r.until) {
-		return r.until.Sub(now)
+func (p pausedEntry) remainingWait(now time.Time) time.Duration {
+	if now.Before(p.until) {
+		return p.until.Sub(now)
 	}
-	return max(0, r.probeDeadline.Sub(now))
+	return max(0, p.probeDeadline.Sub(now))
 }
 
 // isExpired reports whether the pause and the probe period after it are over.
-func (r pausedEntry) isExpired(now time.Time) bool { return now.Sub(r.until) >= probeRetention }
+func (p pausedEntry) isExpired(now time.Time) bool { return now.Sub(p.until) >= probeRetention }
 
 // NewBoard returns an empty Board.
 func NewBoard(cfg BoardConfig) *Board {
@@ -152,7 +152,7 @@
 func (b *Board) endPause(now time.Time, e Endpoint) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if r, ok := b.paused[e.Name]; ok && !now.Before(r.until) && r.started <= e.Started {
+	if p, ok := b.paused[e.Name]; ok && !now.Before(p.until) && p.started <= e.Started {
 		delete(b.paused, e.Name)
 		b.updateCount()
 	}
@@ -226,7 +226,7 @@
 		return
 	}
 	if !ok {
-		evictOldest(b.paused, func(r pausedEntry) time.Time { return r.until })
+		evictOldest(b.paused, func(p pausedEntry) time.Time { return p.until })
 	}
 	b.paused[e.Name] = pausedEntry{started: e.Started, until: until}
 	b.updateCount()
@@ -274,30 +274,30 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, ok := b.paused[e.Name]
-	if !ok || r.started < e.Started {
+	p, ok := b.paused[e.Name]
+	if !ok || p.started < e.Started {
 		return 0
 	}
-	return r.remainingWait(now)
+	return p.remainingWait(now)
 }
 
-// AllowRequest reports whether a request may be sent to an endpoint now. If so, it counts the request as sent; otherwise it returns the
-// wait, as RemainingPause does.
+// AllowRequest reports whether a request may be sent to an endpoint now. If so, it counts the request as sent; otherwise it
+// returns the wait, as RemainingPause does.
 func (b *Board) AllowRequest(now time.Time, e Endpoint) (wait time.Duration, ok bool) {
 	if !b.HasEntries() {
 		return 0, true
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, isPaused := b.paused[e.Name]
-	if !isPaused || r.started < e.Started {
+	p, isPaused := b.paused[e.Name]
+	if !isPaused || p.started < e.Started {
 		return 0, true
 	}
-	if wait = r.remainingWait(now); wait > 0 {
+	if wait = p.remainingWait(now); wait > 0 {
 		return wait, false
 	}
-	r.probeDeadline = now.Add(probeTimeout)
-	b.paused[e.Name] = r
+	p.probeDeadline = now.Add(probeTimeout)
+	b.paused[e.Name] = p
 	return 0, true
 }
 
@@ -314,8 +314,8 @@
 	defer b.mu.Unlock()
 	b.removeExpired(now)
 	var all []PausedEndpoint
-	for name, r := range b.paused {
-		all = append(all, PausedEndpoint{name, max(0, r.until.Sub(now))})
+	for name, p := range b.paused {
+		all = append(all, PausedEndpoint{name, max(0, p.until.Sub(now))})
 	}
 	slices.SortFunc(all, func(x, y PausedEndpoint) int { return strings.Compare(x.Endpoint, y.Endpoint) })
 	return all
@@ -341,8 +341,8 @@
 			delete(b.leaving, name)
 		}
 	}
-	for name, r := range b.paused {
-		if r.isExpired(now) {
+	for name, p := range b.paused {
+		if p.isExpired(now) {
 			delete(b.paused, name)
 		}
 	}
--- a/internal/notice/client.go
+++ b/internal/notice/client.go
@@ -39,7 +39,8 @@
 	// batchCapacity bounds the reports waiting to be sent. Reports beyond it are dropped; other boxes get them by comparing.
 	batchCapacity = 1024
 	// compareInterval is the time between two comparisons with another box, which is picked at random each time. A box that is
-	// new, was cut off or was frozen is up to date within two intervals, in every zone and also without a coordinator or a store.
+	// new, was cut off or was suspended is up to date within two intervals, in every zone and also without a coordinator or a
+	// store.
 	compareInterval = time.Second
 	// initialCompareInterval is the time between the attempts of a starting box to make its first comparison.
 	initialCompareInterval = 20 * time.Millisecond
@@ -74,8 +75,8 @@
 }
 
 // Client reports leaving endpoints to the other boxes. The box that receives the announcement notifies all others, because an
-// endpoint announces only once per incarnation that it is leaving. A box that does not know sends requests to an endpoint that
-// may end while they run.
+// endpoint announces only once per incarnation that it is leaving. A box that does not know this would send requests to the
+// endpoint, which may end while they run.
 type Client struct {
 	cfg     ClientConfig
 	batcher *gather.Gatherer[struct{}, Endpoint]
@@ -112,8 +113,8 @@
 	return group.Wait()
 }
 
-// IsCaughtUp reports whether the first comparison after the start is done or given up. It is always true while there are no other
-// boxes.
+// IsCaughtUp reports whether the first comparison after the start has succeeded or its attempts are used up. It is always true
+// while there are no other boxes.
 func (c *Client) IsCaughtUp() bool {
 	return c.initialCompareDone.Load() || len(c.cfg.OtherBoxes()) == 0
 }
--- a/internal/notice/headers_test.go
+++ b/internal/notice/headers_test.go
@@ -45,9 +45,9 @@
 			if test.date != "" {
 				h.Set("Date", test.date)
 			}
-			w := testHeaders.Read(test.status, h)
-			c.Check(w.RetryAfterErr == nil, qt.Equals, test.ok)
-			c.Check(w.RetryAfter, qt.Equals, test.want)
+			notices := testHeaders.Read(test.status, h)
+			c.Check(notices.RetryAfterErr == nil, qt.Equals, test.ok)
+			c.Check(notices.RetryAfter, qt.Equals, test.want)
 		})
 	}
 }
@@ -71,8 +71,8 @@
 		{[]string{"soon"}, false, false},
 	} {
 		c := qt.New(t)
-		w := testHeaders.Read(200, http.Header{"Leaving": test.values})
-		c.Check(w.Leaving, qt.Equals, test.leaving, qt.Commentf("%q", test.values))
-		c.Check(w.LeavingErr == nil, qt.Equals, test.ok, qt.Commentf("%q", test.values))
+		notices := testHeaders.Read(200, http.Header{"Leaving": test.values})
+		c.Check(notices.Leaving, qt.Equals, test.leaving, qt.Commentf("%q", test.values))
+		c.Check(notices.LeavingErr == nil, qt.Equals, test.ok, qt.Commentf("%q", test.values))
 	}
 }
