--- a/internal/customer/customer.go
+++ b/internal/customer/customer.go
@@ -1,5 +1,5 @@
-// Package customer identifies the customer of a request and computes the cost of the request against the customer's quota. It does no I/O
-// and reads no clock.
+// Package customer identifies the customer of a request and computes the cost of the request against the customer's quota. It
+// does no I/O and reads no clock.
 package customer
 
 import (
@@ -31,7 +31,8 @@
 	Unit Unit `json:"unit,omitempty"`
 	// DefaultTokens is the cost of a request that gives no token count, if Unit is UnitTokens.
 	DefaultTokens float64 `json:"plain_tokens,omitempty"`
-	// Rate is in units per second. Burst is how many units may be used at once beyond the rate. If Rate is zero, usage is not limited.
+	// Rate is in units per second. Burst is how many units may be used at once beyond the rate. If Rate is zero, usage is not
+	// limited.
 	Rate  float64 `json:"rate,omitempty"`
 	Burst float64 `json:"burst,omitempty"`
 }
@@ -134,8 +135,8 @@
 	return t
 }
 
-// ByDigest returns the customer that has a key with the digest d. Lookups use only the digest, so that their duration reveals nothing about a
-// key.
+// ByDigest returns the customer that has a key with the digest d. Lookups use only the digest, so that their duration reveals
+// nothing about a key.
 func (t *Table) ByDigest(d Digest) (*Customer, bool) {
 	c, ok := t.byKey[d]
 	return c, ok
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -143,7 +143,8 @@
 	return NewAnswer(resp, call.Ref, call.RunID), nil
 }
 
-// transportError returns the error for a call without a response. started reports whether any part of the request may have been sent.
+// transportError returns the error for a call without a response. started reports whether any part of the request may have been
+// sent.
 func transportError(ctx context.Context, started bool, err error) *result.Error {
 	switch {
 	case !started:
--- a/internal/engine/message.go
+++ b/internal/engine/message.go
@@ -36,8 +36,8 @@
 	// IsAllowed reports whether the order may be sent now. If it is nil, the order may always be sent. A sender must call it before
 	// each attempt and each poll for completion, as the process may have been suspended in between.
 	IsAllowed func() bool `json:"-"`
-	// MaxAdapters is the maximum number of adapters that the engine can hold, or zero if unknown. If other owners have sent orders to
-	// the engine in the meantime and filled it with adapters, an order to load an adapter is not sent.
+	// MaxAdapters is the maximum number of adapters that the engine can hold, or zero if unknown. If other owners have sent
+	// orders to the engine in the meantime and filled it with adapters, an order to load an adapter is not sent.
 	MaxAdapters int `json:"-"`
 }
 
@@ -62,7 +62,8 @@
 	Loaded []string `json:"loaded"`
 	// BaseModels lists the loaded base models. It is nil if the engine always has its own base model loaded.
 	BaseModels []string `json:"base_models,omitempty"`
-	// LocalBaseModels lists the base models of which the engine has a local copy, so that it need not fetch them from the weight store.
+	// LocalBaseModels lists the base models of which the engine has a local copy, so that it need not fetch them from the weight
+	// store.
 	LocalBaseModels []string `json:"at_hand,omitempty"`
 	// Running and Waiting are numbers of sequences.
 	Running int `json:"running"`
@@ -94,7 +95,7 @@
 	// address.
 	RefusalNotFound = "not_there"
 	RefusalNoSlot   = "no_slot"
-	// RefusalBusy means that the engine currently rejects requests. The response headers may tell for how long.
+	// RefusalBusy means that the engine currently rejects requests. The response headers may state for how long.
 	RefusalBusy       = "busy"
 	RefusalBadRequest = "bad_request"
 )
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -19,7 +19,8 @@
 // a pause, or that they are leaving.
 const maxExtraEngines = 8
 
-// maxLocalTries is how often a request is sent to the same engine if the engine reports that it has not loaded the adapter.
+// maxLocalTries is how often a request is sent to the same engine if the engine refuses it, for example because the adapter is
+// not loaded.
 const maxLocalTries = 2
 
 // attempt is a request that was sent to an engine and whose answer has begun.
@@ -35,7 +36,8 @@
 	recordOutcome func(*result.Error)
 }
 
-// A request that finds no owner of an engine retries for handOverTimeout, because an engine gets a new owner within one or two heartbeats.
+// A request that finds no owner of an engine retries for handOverTimeout, because an engine gets a new owner within one or two
+// heartbeats.
 const (
 	handOverTimeout      = 2 * time.Second
 	handOverPollInterval = 50 * time.Millisecond
@@ -80,8 +82,8 @@
 		if rerr := g.cfg.Quarantine.Refusal(j.suspect.Fingerprint); rerr != nil {
 			return nil, rerr.AdjustForRetries(mayHaveRun)
 		}
-		// Trying the next engine is routing, not a retry, if the last engine was only slower than another,
-		// or announced that it takes no requests.
+		// Trying the next engine is routing, not a retry, if the owner of the last engine referred the request to others,
+		// or if the last engine announced that it takes no requests.
 		if i > 0 && lastErr.Code != result.TryNext && !isAnnouncedRefusal(lastErr) && !g.retryBudget.takeRetry() {
 			g.cfg.Scope.Counter("retries_over_budget").Inc(1)
 			break
@@ -143,7 +145,7 @@
 
 // tryLocal runs the job on an engine that this box owns.
 func (g *Gateway) tryLocal(ctx context.Context, j *job, engine string, r *owner.Runner) (*attempt, *result.Error) {
-	if rerr := g.checkRest(engine); rerr != nil {
+	if rerr := g.checkPause(engine); rerr != nil {
 		return nil, rerr
 	}
 	var lastErr *result.Error
@@ -196,7 +198,7 @@
 	return &attempt{answer: answer, engine: grant.Name, box: g.cfg.Box, adapterWait: grant.Stalled, release: grant.Release, recordOutcome: recordOutcome}, nil
 }
 
-// ownerEnd returns how a run that failed with err ended for the owner of the engine.
+// ownerEnd returns how the end of a run that failed with err is reported to the owner of the engine.
 func ownerEnd(err *result.Error) owner.End {
 	switch {
 	case err.Code == result.BackendRefused:
--- a/internal/gateway/auth.go
+++ b/internal/gateway/auth.go
@@ -8,8 +8,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// authorize checks the caller's token for a co-operative (the customer that owns the adapter) or a service, and counts the request as in flight.
-// The caller must call end when the request has ended.
+// authorize checks the caller's token for a co-operative (the customer that owns the adapter) or a service, and counts the
+// request as in flight. The caller must call end when the request has ended.
 func (g *Gateway) authorize(r *http.Request, cooperative string) (end func(), err *result.Error) {
 	c, ok := g.cfg.Catalog.Cooperative(cooperative)
 	limit := 0
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -34,8 +34,8 @@
 	LocateTTL time.Duration
 }
 
-// unresponsiveTime is how long a box that did not answer is tried after all others.
-const unresponsiveTime = 3 * time.Second
+// unresponsivePeriod is how long a box that did not answer is tried after all others.
+const unresponsivePeriod = 3 * time.Second
 
 // Config configures a Gateway.
 type Config struct {
@@ -46,21 +46,21 @@
 	Engines *engine.Client
 	// PeerClient is the client for requests to other boxes. Its transport must wait for 100 Continue before it sends a body.
 	PeerClient *http.Client
-	// Services is the client for calls of services, UnrepeatableServices the client for those calls that must not be repeated.
+	// Services is the client for calls of services, UnrepeatableServices the client for those calls that must not run twice.
 	Services             *http.Client
 	UnrepeatableServices *http.Client
 	Limits               Limits
 	// Quarantine refuses requests that have crashed back ends before.
 	Quarantine *quarantine.Client
-	// Places limits the concurrent calls of all boxes to the addresses of services.
-	// Rates stores the maximum requests per second that engines and services report.
+	// Places counts the calls of all boxes to the addresses of services, so that their rate limits hold.
 	Places *places.Client
-	Rates  *ratelimit.Registry
+	// Rates stores the rate limits that engines and services report.
+	Rates *ratelimit.Registry
 	// Notices stores which engines and services have announced that they are leaving or requested a pause.
 	Notices *notice.Board
 	// Record stores how recent requests were handled, for operators.
 	Record *record.Log
-	// Ready reports whether this box can serve requests, Leaving whether it is stopping.
+	// Ready reports whether this box can serve requests, Leaving whether it ends soon.
 	Ready   func() bool
 	Leaving func() bool
 	Scope   tally.Scope
@@ -81,7 +81,7 @@
 
 // New returns a Gateway.
 func New(cfg Config) *Gateway {
-	return &Gateway{cfg: cfg, inFlight: map[string]int{}, unresponsive: recent.New[string](unresponsiveTime), retryBudget: newRetryBudget()}
+	return &Gateway{cfg: cfg, inFlight: map[string]int{}, unresponsive: recent.New[string](unresponsivePeriod), retryBudget: newRetryBudget()}
 }
 
 // Handler returns the HTTP handler for callers.
@@ -115,7 +115,8 @@
 	g.cfg.Scope.Tagged(map[string]string{"result": c.String()}).Counter("requests").Inc(1)
 }
 
-// beginRequest counts a request as in flight. It reports false if the co-operative has reached its limit on this box; zero means no limit.
+// beginRequest counts a request as in flight. It reports false if the co-operative has reached its limit on this box; zero means
+// no limit.
 func (g *Gateway) beginRequest(cooperative string, limit int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -24,9 +24,9 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// A hop forwards a request to the box that owns the engine. The sender sends the header first, and the body only after the owner is ready to run
-// the request. Until then the owner sends 102 Processing every keepaliveInterval. If it stops, the sender gives up after keepaliveTimeout, while it is
-// certain that the request has not run.
+// A hop forwards a request to the box that owns the engine. The sender sends the header first, and the body only after the owner
+// is ready to run the request. Until then the owner sends 102 Processing every keepaliveInterval. If none arrives for
+// keepaliveTimeout, the sender cancels the hop. It is then certain that the request has not run.
 const (
 	pathRun = "/peer/run"
 
@@ -50,7 +50,7 @@
 	StartIn   time.Duration `json:"start_in"`
 	// LastEngine is set if no other engine will be tried after this one.
 	LastEngine bool `json:"last,omitempty"`
-	// Suspect identifies repeated attempts of the same request for the quarantine.
+	// Suspect identifies the request for the quarantine, also when it is retried.
 	Suspect quarantine.Suspect `json:"suspect"`
 	// Cooperative is the customer that owns the adapter, Rate the rate limit of the engine as last reported to the sender.
 	Cooperative string            `json:"cooperative,omitempty"`
@@ -105,7 +105,8 @@
 func (g *Gateway) sendHop(
 	ctx context.Context, cancel context.CancelFunc, e catalog.EngineView, head []byte, body *trackedBody, size int64,
 ) (*http.Response, *result.Error) {
-	// The watchdog cancels the call if keepalives are missing. It is off after 100 Continue, because the request may then run for a long time.
+	// The watchdog cancels the call if keepalives are missing. It is off after 100 Continue, because the request may then run for
+	// a long time.
 	watchdog := time.AfterFunc(keepaliveTimeout, cancel)
 	defer watchdog.Stop()
 	trace := &httptrace.ClientTrace{Got1xxResponse: func(code int, _ textproto.MIMEHeader) error {
@@ -133,8 +134,8 @@
 		}
 		return nil, result.New(result.BackendUnreachable, "box %s: %v", e.Owner.Box, err)
 	}
-	if w := grant.RateFromHeader(resp.Header); w != nil {
-		g.cfg.Rates.Record(clock.Now(), e.Name, *w)
+	if rate := grant.RateFromHeader(resp.Header); rate != nil {
+		g.cfg.Rates.Record(clock.Now(), e.Name, *rate)
 	}
 	if resp.StatusCode == http.StatusOK {
 		return resp, nil
@@ -143,7 +144,8 @@
 	return nil, hopError(resp, body.wasRead.Load())
 }
 
-// hopError decodes the error in the response to a hop. If the response contains no valid error and the body was read, the request may have run.
+// hopError decodes the error in the response to a hop. If the response contains no valid error and the body was read, the request
+// may have run.
 func hopError(resp *http.Response, bodyRead bool) *result.Error {
 	const maxRefusal = 64 << 10
 	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxRefusal))
@@ -165,7 +167,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), g.cfg.Limits.MaxDuration)
 	defer cancel()
-	if rerr := g.checkRest(runner.Name()); rerr != nil {
+	if rerr := g.checkPause(runner.Name()); rerr != nil {
 		rerr.Write(w, j.requestID)
 		return
 	}
--- a/internal/gateway/job.go
+++ b/internal/gateway/job.go
@@ -47,7 +47,7 @@
 	// isLastEngine is set if no other engine will be tried after the current one.
 	isLastEngine bool
 	body         []byte
-	// suspect identifies repeated attempts of the same request for the quarantine.
+	// suspect identifies the request for the quarantine, also when it is retried.
 	suspect quarantine.Suspect
 	// entry is the record of the request for operators.
 	entry record.Request
--- a/internal/gateway/locate.go
+++ b/internal/gateway/locate.go
@@ -61,7 +61,8 @@
 	return g.boxAddresses(ref.String(), owners), nil
 }
 
-// boxAddresses returns the addresses for callers of the preferred boxes, then of others. It omits boxes that are leaving or unresponsive.
+// boxAddresses returns the addresses for callers of the preferred boxes, then of others. It omits boxes that are leaving or
+// unresponsive.
 func (g *Gateway) boxAddresses(key string, preferred []string) []string {
 	t := g.cfg.Catalog.Topology()
 	boxNames := make([]string, 0, len(t.Boxes))
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -13,14 +13,16 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// headerRetryAfter is copied from the responses of services to the caller, who should retry after the time that the service requests.
+// headerRetryAfter is copied from the responses of services to the caller, who should retry after the time that the service
+// requests.
 const headerRetryAfter = "Retry-After"
 
 // retrySpread is the time over which the retries of callers are spread if no endpoint takes their requests.
 const retrySpread = 2 * time.Second
 
-// recordEngineNotice records the rate limit and the notices in the header of an engine's answer. No request is sent to an engine
-// without its owner, so only the owner needs to know that the engine is leaving. A pause applies to the box that sent the request: here, the owner.
+// recordEngineNotice records the rate limit and the notices in the header of an engine's answer. It runs on the box that owns the
+// engine. All requests to the engine go through that box, so only its owner needs to know that the engine is leaving. A pause
+// applies to the box that sent the request, which is the same box.
 func (g *Gateway) recordEngineNotice(grant *owner.Grant, notices notice.HeaderNotices) {
 	now := clock.Now()
 	if notices.RateErr != nil {
@@ -39,8 +41,8 @@
 	g.cfg.Notices.RecordNotices(now, engineEndpoint(grant.Name), notices)
 }
 
-// engineEndpoint returns the endpoint of an engine on the notice board. NameReused is set because no start time is needed:
-// a pause ends sooner than the engine could restart and request another pause.
+// engineEndpoint returns the endpoint of an engine on the notice board. It has no start time and sets NameReused: a pause ends
+// sooner than the engine could restart and request another one.
 func engineEndpoint(name string) notice.Endpoint {
 	return notice.Endpoint{Name: name, NameReused: true}
 }
@@ -56,21 +58,22 @@
 	g.cfg.Notices.RecordNotices(now, notice.Endpoint{Name: a.String(), NameReused: true}, notices)
 }
 
-// checkRest returns an error if an engine or address has requested a pause from this box.
-func (g *Gateway) checkRest(name string) *result.Error {
+// checkPause returns an error if an engine or address has requested a pause from this box.
+func (g *Gateway) checkPause(name string) *result.Error {
 	if wait := g.cfg.Notices.RemainingPause(clock.Now(), engineEndpoint(name)); wait > 0 {
-		return restingError(name, wait)
+		return pauseError(name, wait)
 	}
 	return nil
 }
 
-func restingError(name string, wait time.Duration) *result.Error {
+func pauseError(name string, wait time.Duration) *result.Error {
 	rerr := result.New(result.EndpointResting, "%s", name)
 	rerr.RetryAfter = wait
 	return rerr
 }
 
-// checkGranted returns an error if the engine announced that it is leaving or requested a pause while the request waited for its grant.
+// checkGranted returns an error if the engine announced that it is leaving or requested a pause while the request waited for its
+// grant.
 func (g *Gateway) checkGranted(grant *owner.Grant) *result.Error {
 	if grant.IsLeaving() {
 		return result.New(result.EndpointLeaving, "%s", grant.Name)
@@ -84,7 +87,7 @@
 	if g.cfg.Notices.IsLeaving(clock.Now(), e) {
 		return result.New(result.EndpointLeaving, "%s", address)
 	}
-	return g.checkRest(address)
+	return g.checkPause(address)
 }
 
 // admitToAddress checks an address again directly before a call is sent to it, and counts the call as sent.
@@ -98,13 +101,13 @@
 // admit counts a request to an endpoint as sent, or returns an error if the endpoint has requested a pause.
 func (g *Gateway) admit(e notice.Endpoint) *result.Error {
 	if wait, ok := g.cfg.Notices.AllowRequest(clock.Now(), e); !ok {
-		return restingError(e.Name, wait)
+		return pauseError(e.Name, wait)
 	}
 	return nil
 }
 
-// isAnnouncedRefusal reports whether an endpoint was skipped because of its own announcement: a rate limit, a pause, or that it is leaving.
-// Trying the next endpoint is then routing, not a retry.
+// isAnnouncedRefusal reports whether an endpoint was skipped because of its own announcement: a rate limit, a pause, or that it
+// is leaving. Trying the next endpoint is then routing, not a retry.
 func isAnnouncedRefusal(rerr *result.Error) bool {
 	switch rerr.Code {
 	case result.RateLimited, result.EndpointResting, result.EndpointLeaving:
@@ -118,10 +121,10 @@
 type refusalSummary struct {
 	// announced counts the errors for which isAnnouncedRefusal is true, others all other errors.
 	announced, others int
-	// resting counts the endpoints that requested a pause.
-	resting int
-	// shortestRest is the shortest remaining pause of these endpoints.
-	shortestRest time.Duration
+	// paused counts the endpoints that requested a pause.
+	paused int
+	// shortestPause is the shortest remaining pause of these endpoints.
+	shortestPause time.Duration
 }
 
 func (s *refusalSummary) add(rerr *result.Error) {
@@ -131,10 +134,10 @@
 	}
 	s.announced++
 	if rerr.Code == result.EndpointResting {
-		if s.resting == 0 || rerr.RetryAfter < s.shortestRest {
-			s.shortestRest = rerr.RetryAfter
+		if s.paused == 0 || rerr.RetryAfter < s.shortestPause {
+			s.shortestPause = rerr.RetryAfter
 		}
-		s.resting++
+		s.paused++
 	}
 }
 
@@ -144,8 +147,8 @@
 	if s.announced == 0 || s.others > 0 || (rerr != nil && rerr.Code == result.RateLimited) {
 		return rerr
 	}
-	if s.resting > 0 {
-		return restingError("all suitable endpoints", s.shortestRest+rand.N(retrySpread))
+	if s.paused > 0 {
+		return pauseError("all suitable endpoints", s.shortestPause+rand.N(retrySpread))
 	}
 	leavingErr := result.New(result.EndpointLeaving, "all suitable endpoints")
 	leavingErr.RetryAfter = time.Second + rand.N(retrySpread)
--- a/internal/gateway/service.go
+++ b/internal/gateway/service.go
@@ -36,7 +36,7 @@
 	header     http.Header
 	body       []byte
 	repeatable bool
-	// suspect identifies repeated attempts of the same call for the quarantine.
+	// suspect identifies the call for the quarantine, also when it is retried.
 	suspect quarantine.Suspect
 }
 
@@ -102,8 +102,8 @@
 	return c, nil
 }
 
-// isRepeatable reports whether a call may run twice. The unrepeatable paths of the service's declaration take precedence, then the caller's header,
-// then the method.
+// isRepeatable reports whether a call may run twice. The unrepeatable paths of the service's declaration take precedence, then
+// the caller's header, then the method.
 func isRepeatable(r *http.Request, path string, s *resource.Service) bool {
 	for _, p := range s.UnrepeatablePrefixes {
 		if strings.HasPrefix(path, p) {
--- a/internal/gateway/stream.go
+++ b/internal/gateway/stream.go
@@ -10,8 +10,8 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// copyAnswer copies a validated answer to the caller. It writes nothing before the first event of a stream or the whole answer is validated.
-// An error before that is sent as the complete answer. A later error ends the stream with an error event.
+// copyAnswer copies a validated answer to the caller. It writes nothing before the first event of a stream or the whole answer is
+// validated. An error before that is sent as the complete answer. A later error ends the stream with an error event.
 func copyAnswer(w http.ResponseWriter, a *engine.Answer) *result.Error {
 	if !a.IsStream {
 		b, err := a.ReadAll()
