--- a/internal/quarantine/client.go
+++ b/internal/quarantine/client.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// RanSuccessfully reports whether a request recently ran successfully through this box, and so is not suspected of crashing endpoints. It
-// returns true if the quarantine is off.
+// RanSuccessfully reports whether a request recently ran successfully through this box, and so is not suspected of crashing
+// endpoints. It returns true if the quarantine is off.
 func (c *Client) RanSuccessfully(f Fingerprint) bool {
 	return c.cfg.Disabled || c.cfg.Register.RanSuccessfully(clock.Now(), f)
 }
--- a/internal/quarantine/probe.go
+++ b/internal/quarantine/probe.go
@@ -72,8 +72,8 @@
 	return outcome
 }
 
-// RecordOutcome records the outcome of a request at an endpoint. rerr is nil after a complete answer. If the endpoint crashed, RecordOutcome
-// returns when RecordCrash does.
+// RecordOutcome records the outcome of a request at an endpoint. rerr is nil after a complete answer. If the endpoint crashed,
+// RecordOutcome returns when RecordCrash does.
 func (c *Client) RecordOutcome(ctx context.Context, s Suspect, e Endpoint, rerr *result.Error) {
 	switch {
 	case rerr == nil:
@@ -83,8 +83,8 @@
 	}
 }
 
-// RecordBrokenConnection records that the connection on which an endpoint ran a request broke. If a probe shows that the endpoint has crashed,
-// the crash counts against the request, and RecordBrokenConnection returns when RecordCrash does.
+// RecordBrokenConnection records that the connection on which an endpoint ran a request broke. If a probe shows that the endpoint
+// has crashed, the crash counts against the request, and RecordBrokenConnection returns when RecordCrash does.
 func (c *Client) RecordBrokenConnection(ctx context.Context, s Suspect, e Endpoint) {
 	if c.cfg.Disabled {
 		return
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -203,7 +203,7 @@
 		var messages []quarantine.Case
 		box := rapid.IntRange(0, boxes-1)
 		t.Repeat(map[string]func(*rapid.T){
-			"endpoint ends": func(t *rapid.T) {
+			"endpoint crashes": func(t *rapid.T) {
 				n, incarnation := rapid.IntRange(0, requests-1).Draw(t, "request"), fmt.Sprint(rapid.IntRange(0, 9).Draw(t, "life"))
 				crashed[n] = append(crashed[n], incarnation)
 				one, _ := all[box.Draw(t, "box")].Merge(now, crashCase(n, incarnation))
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// advanceTime is the time for which a box takes units in advance of its requests, and how long it may use them. Units that
-	// are used later than granted add to the use in a window: a quarter of a second at the rate is a thirtieth of what a window
-	// of eight seconds allows.
+	// advanceTime is the time for which a box takes units in advance of its requests, and how long it may use them. It is short,
+	// because units that are used later than granted add to the use in a window. A quarter of a second at the rate is a thirtieth
+	// of what a window of eight seconds allows.
 	advanceTime = 250 * time.Millisecond
 	// demandHalfLife is the half-life of the decayed demand of a box.
 	demandHalfLife = time.Second
--- a/internal/quota/client.go
+++ b/internal/quota/client.go
@@ -22,9 +22,9 @@
 	pathTake = "/peer/quota"
 	// requestTimeout limits a call to the accountable box: a round trip between zones takes 3 ms, on a busy box about 50 ms.
 	requestTimeout = 200 * time.Millisecond
-	// unresponsivePause is how long a box that did not answer is not called again.
-	unresponsivePause = 500 * time.Millisecond
-	// maxAllowances limits the customers for which a box keeps an allowance.
+	// unresponsivePeriod is how long a box that did not answer is not called again.
+	unresponsivePeriod = 500 * time.Millisecond
+	// maxAllowances limits the customers for which a box keeps an allowance. When it is reached, all allowances are dropped.
 	maxAllowances = 8192
 	// defaultBoxes is the assumed number of boxes while the number is unknown.
 	defaultBoxes = 64
@@ -32,8 +32,8 @@
 
 // Accountable provides the box that is currently accountable for a customer. It separates this package from the membership.
 type Accountable interface {
-	// BoxFor returns the address of the box that is accountable for a customer, and whether it is this box. ok is false if no box is
-	// accountable.
+	// BoxFor returns the address of the box that is accountable for a customer, and whether it is this box. ok is false if no box
+	// is accountable.
 	BoxFor(name string) (address netip.AddrPort, here, ok bool)
 	// Boxes returns the number of boxes, or zero if it is unknown.
 	Boxes() int
@@ -59,7 +59,7 @@
 
 // NewClient returns a Client.
 func NewClient(cfg ClientConfig) *Client {
-	return &Client{cfg: cfg, unresponsive: recent.New[netip.AddrPort](unresponsivePause), allowances: map[string]*allowance{}}
+	return &Client{cfg: cfg, unresponsive: recent.New[netip.AddrPort](unresponsivePeriod), allowances: map[string]*allowance{}}
 }
 
 func (c *Client) allowance(name string) *allowance {
@@ -128,7 +128,7 @@
 	return rerr
 }
 
-// request takes units from the accountable box. A box that did not answer is not called again for unresponsivePause.
+// request takes units from the accountable box. A box that did not answer is not called again for unresponsivePeriod.
 func (c *Client) request(ctx context.Context, cust *customer.Customer, req TakeRequest) (TakeReply, error) {
 	address, here, ok := c.cfg.Accountable.BoxFor(cust.Name)
 	switch {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// maxWait limits the time after which a refused request is told to retry.
+	// maxWait is the longest retry delay that a refused request gets.
 	maxWait = 5 * time.Second
 	// maxAccounts limits the accounts of a ledger. When it is reached, the accounts that have not been used for maxWait are
 	// dropped.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -51,19 +51,19 @@
 	return (q.Rate*boundWindow.Seconds()+q.Burst)*(1+boundExcess) + boundTolerance
 }
 
-// fleet simulates boxes in virtual time. Their accountable box may change or stop answering.
+// fleet simulates boxes in virtual time. Their accountable box may change or become unreachable.
 type fleet struct {
-	ledger            *Ledger
-	allowances        []*allowance
-	accountableSilent func(box int, now time.Time) bool
-	usages            []usage
-	ledgerCalls       int
-	refusedUnits      float64
-	requestedUnits    float64
+	ledger                 *Ledger
+	allowances             []*allowance
+	accountableUnreachable func(box int, now time.Time) bool
+	usages                 []usage
+	ledgerCalls            int
+	refusedUnits           float64
+	requestedUnits         float64
 }
 
 func newFleet(boxes int) *fleet {
-	f := &fleet{ledger: NewLedger(LedgerConfig{Bounds: testBounds}), accountableSilent: func(int, time.Time) bool { return false }}
+	f := &fleet{ledger: NewLedger(LedgerConfig{Bounds: testBounds}), accountableUnreachable: func(int, time.Time) bool { return false }}
 	for range boxes {
 		f.allowances = append(f.allowances, &allowance{})
 	}
@@ -78,7 +78,7 @@
 	switch {
 	case ok:
 	case wait > 0:
-	case f.accountableSilent(box, now):
+	case f.accountableUnreachable(box, now):
 		_, ok = a.takeFallback(now, q, req, len(f.allowances))
 	default:
 		f.ledgerCalls++
@@ -134,7 +134,7 @@
 // fixedShareRefusals returns the share of a customer's usual units that is refused if each box has a fixed share of the quota.
 func fixedShareRefusals(rng *rand.Rand, q customer.Quota, boxes, activeBoxes int, usualRate float64) float64 {
 	f := newFleet(boxes)
-	f.accountableSilent = func(int, time.Time) bool { return true }
+	f.accountableUnreachable = func(int, time.Time) bool { return true }
 	f.sendRequests(rng, q, startTime, startTime.Add(10*time.Second), usualRate, func() int { return rng.IntN(activeBoxes) })
 	return f.refusedUnits / f.requestedUnits
 }
@@ -142,8 +142,8 @@
 // TestQuotaHoldsWhenAccountableBoxIsLost simulates a customer at many times its quota whose accountable box stops answering.
 // Another box takes over with an empty ledger.
 func TestQuotaHoldsWhenAccountableBoxIsLost(t *testing.T) {
-	for _, silence := range []time.Duration{500 * time.Millisecond, 1200 * time.Millisecond, 2400 * time.Millisecond} {
-		t.Run(silence.String(), func(t *testing.T) {
+	for _, outage := range []time.Duration{500 * time.Millisecond, 1200 * time.Millisecond, 2400 * time.Millisecond} {
+		t.Run(outage.String(), func(t *testing.T) {
 			c := qt.New(t)
 			rng := rand.New(rand.NewPCG(3, 4))
 			const usualRate = 120_000
@@ -152,7 +152,7 @@
 			box := func() int { return rng.IntN(72) }
 			lostAt := startTime.Add(6 * time.Second)
 			f.sendRequests(rng, q, startTime, lostAt, 7.5*usualRate, box)
-			f.accountableSilent = func(_ int, now time.Time) bool { return now.Before(lostAt.Add(silence)) }
+			f.accountableUnreachable = func(_ int, now time.Time) bool { return now.Before(lostAt.Add(outage)) }
 			f.ledger = NewLedger(LedgerConfig{Bounds: testBounds})
 			f.sendRequests(rng, q, lostAt, lostAt.Add(8*time.Second), 7.5*usualRate, box)
 			c.Check(maxUseInWindow(f.usages) <= maxAllowedUse(q), qt.IsTrue,
@@ -170,7 +170,7 @@
 	q := customer.Quota{Unit: customer.UnitTokens, Rate: 1.8 * usualRate, Burst: 1.8 * usualRate}
 	f := newFleet(72)
 	cutAt := startTime.Add(6 * time.Second)
-	f.accountableSilent = func(box int, now time.Time) bool {
+	f.accountableUnreachable = func(box int, now time.Time) bool {
 		return box%2 == 0 && now.After(cutAt) && now.Before(cutAt.Add(5*time.Second))
 	}
 	f.sendRequests(rng, q, startTime, cutAt.Add(12*time.Second), 7.5*usualRate, func() int { return rng.IntN(72) })
