--- a/internal/gateway/hop.go
+++ b/internal/gateway/hop.go
@@ -26,7 +26,7 @@
 
 // A hop forwards a request to the box that owns the engine. The sender sends the header first, and the body only after the owner
 // is ready to run the request. Until then the owner sends 102 Processing every keepaliveInterval. If none arrives for
-// keepaliveTimeout, the sender cancels the hop. It is then certain that the request has not run.
+// keepaliveTimeout, the sender cancels the hop. This detects a suspended owner while it is certain that the request has not run.
 const (
 	pathRun = "/peer/run"
 
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -41,8 +41,8 @@
 	g.cfg.Notices.RecordNotices(now, engineEndpoint(grant.Name), notices)
 }
 
-// engineEndpoint returns the endpoint of an engine on the notice board. It has no start time and sets NameReused: a pause ends
-// sooner than the engine could restart and request another one.
+// engineEndpoint returns the endpoint of an engine on the notice board. It has no start time and sets NameReused, because pauses
+// need not be limited to one incarnation: they usually end sooner than an engine could restart and request another one.
 func engineEndpoint(name string) notice.Endpoint {
 	return notice.Endpoint{Name: name, NameReused: true}
 }
