--- a/internal/quarantine/client_test.go
+++ b/internal/quarantine/client_test.go
@@ -48,16 +48,16 @@
 }
 
 func startFleet(c *qt.C, names ...string) *fleet {
-	w := &fleet{c: c, boxes: map[string]*member{}}
+	f := &fleet{c: c, boxes: map[string]*member{}}
 	for _, name := range names {
-		w.startBox(name)
+		f.startBox(name)
 	}
-	return w
+	return f
 }
 
 // startBox starts a box with an empty register. The box reads the stored cell map.
-func (w *fleet) startBox(name string) {
-	b := &member{name: name, fleet: w, seenWrites: -1}
+func (f *fleet) startBox(name string) {
+	b := &member{name: name, fleet: f, seenWrites: -1}
 	b.Client = quarantine.NewClient(quarantine.ClientConfig{
 		HTTP: &http.Client{Transport: b}, Register: newRegister(), Fleet: b, Scope: tally.NoopScope,
 	})
@@ -75,34 +75,34 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	w.c.Cleanup(b.stop)
-	w.withLock(func() { w.boxes[name] = b })
+	f.c.Cleanup(b.stop)
+	f.withLock(func() { f.boxes[name] = b })
 }
 
 // stopBox stops a box and removes it from the fleet.
-func (w *fleet) stopBox(name string) {
-	w.box(name).stop()
-	w.withLock(func() { delete(w.boxes, name) })
+func (f *fleet) stopBox(name string) {
+	f.box(name).stop()
+	f.withLock(func() { delete(f.boxes, name) })
 }
 
-func (w *fleet) withLock(update func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fleet) withLock(update func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	update()
 }
 
-func (w *fleet) box(name string) *member {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.boxes[name]
+func (f *fleet) box(name string) *member {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.boxes[name]
 }
 
 // boxNames returns the sorted names of the running boxes.
-func (w *fleet) boxNames() []string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (f *fleet) boxNames() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var all []string
-	for name := range w.boxes {
+	for name := range f.boxes {
 		all = append(all, name)
 	}
 	slices.Sort(all)
@@ -110,19 +110,19 @@
 }
 
 // publishMap writes the cell map on the box that publishes it.
-func (w *fleet) publishMap() {
-	all := w.box(w.boxNames()[0]).ToPublish()
-	w.withLock(func() { w.publishedHeld, w.mapWrites = all, w.mapWrites+1 })
+func (f *fleet) publishMap() {
+	all := f.box(f.boxNames()[0]).ToPublish()
+	f.withLock(func() { f.publishedHeld, f.mapWrites = all, f.mapWrites+1 })
 }
 
 // inheritMap makes a box continue from the stored cell map, as a new coordinator does.
-func (w *fleet) inheritMap(name string) { w.box(name).Inherit(w.publishedHeld) }
+func (f *fleet) inheritMap(name string) { f.box(name).Inherit(f.publishedHeld) }
 
 // boxesHolding returns the sorted names of the boxes on which a request is held.
-func (w *fleet) boxesHolding(n int) []string {
+func (f *fleet) boxesHolding(n int) []string {
 	var all []string
-	for _, name := range w.boxNames() {
-		if _, held := w.box(name).CheckHeld(fingerprintOf(n)); held {
+	for _, name := range f.boxNames() {
+		if _, held := f.box(name).CheckHeld(fingerprintOf(n)); held {
 			all = append(all, name)
 		}
 	}
@@ -180,9 +180,9 @@
 }
 
 // crashEndpoint records on a box that an endpoint crashed while it ran a request.
-func (w *fleet) crashEndpoint(box string, n int, incarnation string) {
+func (f *fleet) crashEndpoint(box string, n int, incarnation string) {
 	name, _, _ := strings.Cut(incarnation, "/")
-	w.box(box).RecordCrash(context.Background(), suspect(n), quarantine.Endpoint{Name: name, Started: 1})
+	f.box(box).RecordCrash(context.Background(), suspect(n), quarantine.Endpoint{Name: name, Started: 1})
 }
 
 var allNames = []string{"a", "b", "c", "d", "e", "f", "g"}
@@ -191,15 +191,15 @@
 // boxes must hold the request.
 func TestCrashCountIsSharedByAllBoxes(t *testing.T) {
 	c := qt.New(t)
-	w := startFleet(c, allNames...)
+	f := startFleet(c, allNames...)
 	for n := range 20 {
-		w.crashEndpoint(allNames[n%7], n, "x/1")
-		w.crashEndpoint(allNames[(n+2)%7], n, "y/1")
+		f.crashEndpoint(allNames[n%7], n, "x/1")
+		f.crashEndpoint(allNames[(n+2)%7], n, "y/1")
 		// Another box detects the same crash.
-		w.crashEndpoint(allNames[(n+3)%7], n, "y/1")
-		c.Check(w.boxesHolding(n), qt.HasLen, 0)
-		w.crashEndpoint(allNames[(n+5)%7], n, "z/1")
-		c.Check(w.boxesHolding(n), qt.DeepEquals, allNames, qt.Commentf("request %d", n))
+		f.crashEndpoint(allNames[(n+3)%7], n, "y/1")
+		c.Check(f.boxesHolding(n), qt.HasLen, 0)
+		f.crashEndpoint(allNames[(n+5)%7], n, "z/1")
+		c.Check(f.boxesHolding(n), qt.DeepEquals, allNames, qt.Commentf("request %d", n))
 	}
 }
 
@@ -208,48 +208,48 @@
 	for _, test := range []struct {
 		name string
 		// disrupt is called after the second crash, of which all boxes have been notified.
-		disrupt func(w *fleet)
+		disrupt func(f *fleet)
 		holders []string
 	}{
-		{"a box that keeps the case is lost", func(w *fleet) {
-			w.stopBox(placement.Top(fingerprintOf(1).String(), w.boxNames(), 1)[0])
+		{"a box that keeps the case is lost", func(f *fleet) {
+			f.stopBox(placement.Top(fingerprintOf(1).String(), f.boxNames(), 1)[0])
 		}, nil},
-		{"all boxes but one restart", func(w *fleet) {
+		{"all boxes but one restart", func(f *fleet) {
 			for _, name := range allNames[1:] {
-				w.stopBox(name)
+				f.stopBox(name)
 			}
 			for _, name := range allNames[1:] {
-				w.startBox(name)
+				f.startBox(name)
 			}
 		}, allNames},
-		{"the box that detects the last crash is isolated, then reachable", func(w *fleet) {
-			w.withLock(func() { w.boxes["a"].isolated = true })
+		{"the box that detects the last crash is isolated, then reachable", func(f *fleet) {
+			f.withLock(func() { f.boxes["a"].isolated = true })
 		}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			w := startFleet(c, allNames...)
-			w.crashEndpoint("b", 1, "x/1")
-			w.crashEndpoint("c", 1, "y/1")
-			test.disrupt(w)
+			f := startFleet(c, allNames...)
+			f.crashEndpoint("b", 1, "x/1")
+			f.crashEndpoint("c", 1, "y/1")
+			test.disrupt(f)
 			last := "a"
-			if w.box(last) == nil {
+			if f.box(last) == nil {
 				last = "b"
 			}
-			w.crashEndpoint(last, 1, "z/1")
+			f.crashEndpoint(last, 1, "z/1")
 			// The box that detected the third crash holds the request at once, even if it cannot reach other boxes.
-			_, held := w.box(last).CheckHeld(fingerprintOf(1))
+			_, held := f.box(last).CheckHeld(fingerprintOf(1))
 			c.Check(held, qt.IsTrue)
-			w.withLock(func() {
-				for _, b := range w.boxes {
+			f.withLock(func() {
+				for _, b := range f.boxes {
 					b.isolated = false
 				}
 			})
 			// The other boxes hold it once this box has reported it to the box that publishes the map, or once they have received
 			// that map.
 			waitUntil(c, func() bool {
-				w.publishMap()
-				return len(w.boxesHolding(1)) == len(w.boxNames())
+				f.publishMap()
+				return len(f.boxesHolding(1)) == len(f.boxNames())
 			})
 		})
 	}
@@ -258,95 +258,95 @@
 // TestHeldRequestSurvivesLossOfAllBoxes restarts all boxes at once after the cell map contains the held request.
 func TestHeldRequestSurvivesLossOfAllBoxes(t *testing.T) {
 	c := qt.New(t)
-	w := startFleet(c, allNames...)
+	f := startFleet(c, allNames...)
 	for i, incarnation := range []string{"x/1", "y/1", "z/1"} {
-		w.crashEndpoint(allNames[i], 1, incarnation)
+		f.crashEndpoint(allNames[i], 1, incarnation)
 	}
-	w.publishMap()
+	f.publishMap()
 	for _, name := range allNames {
-		w.stopBox(name)
+		f.stopBox(name)
 	}
 	for _, name := range allNames {
-		w.startBox(name)
+		f.startBox(name)
 	}
-	w.inheritMap("a")
-	c.Check(w.boxesHolding(1), qt.DeepEquals, allNames)
-	w.publishMap()
-	c.Check(w.boxesHolding(1), qt.DeepEquals, allNames)
+	f.inheritMap("a")
+	c.Check(f.boxesHolding(1), qt.DeepEquals, allNames)
+	f.publishMap()
+	c.Check(f.boxesHolding(1), qt.DeepEquals, allNames)
 }
 
 // TestIsolatedCoordinatorInheritsMap lets a box take over that received no notifications. It must publish the held requests of
 // the stored map.
 func TestIsolatedCoordinatorInheritsMap(t *testing.T) {
 	c := qt.New(t)
-	w := startFleet(c, allNames...)
-	w.withLock(func() { w.boxes["b"].isolated, w.boxes["b"].mapBlocked = true, true })
+	f := startFleet(c, allNames...)
+	f.withLock(func() { f.boxes["b"].isolated, f.boxes["b"].mapBlocked = true, true })
 	for _, incarnation := range []string{"x/1", "y/1", "z/1"} {
-		w.crashEndpoint("c", 1, incarnation)
+		f.crashEndpoint("c", 1, incarnation)
 	}
-	w.publishMap()
-	c.Check(slices.Contains(w.boxesHolding(1), "b"), qt.IsFalse)
-	w.stopBox("a")
-	w.inheritMap("b")
-	w.withLock(func() { w.boxes["b"].isolated, w.boxes["b"].mapBlocked = false, false })
-	w.publishMap()
-	c.Check(w.boxesHolding(1), qt.DeepEquals, allNames[1:])
+	f.publishMap()
+	c.Check(slices.Contains(f.boxesHolding(1), "b"), qt.IsFalse)
+	f.stopBox("a")
+	f.inheritMap("b")
+	f.withLock(func() { f.boxes["b"].isolated, f.boxes["b"].mapBlocked = false, false })
+	f.publishMap()
+	c.Check(f.boxesHolding(1), qt.DeepEquals, allNames[1:])
 }
 
 // TestSuccessClearsCrashesOnAllBoxes runs a request successfully on a box that did not detect the earlier crashes. All boxes must
 // clear them.
 func TestSuccessClearsCrashesOnAllBoxes(t *testing.T) {
 	c := qt.New(t)
-	w := startFleet(c, allNames...)
-	w.crashEndpoint("a", 1, "x/1")
-	w.crashEndpoint("b", 1, "y/1")
-	w.box("c").RecordSuccess(fingerprintOf(1))
+	f := startFleet(c, allNames...)
+	f.crashEndpoint("a", 1, "x/1")
+	f.crashEndpoint("b", 1, "y/1")
+	f.box("c").RecordSuccess(fingerprintOf(1))
 	waitUntil(c, func() bool {
 		for _, name := range allNames {
-			if len(w.box(name).Cases()) > 0 {
+			if len(f.box(name).Cases()) > 0 {
 				return false
 			}
 		}
 		return true
 	})
-	w.crashEndpoint("d", 1, "z/1")
-	c.Check(w.boxesHolding(1), qt.HasLen, 0)
+	f.crashEndpoint("d", 1, "z/1")
+	c.Check(f.boxesHolding(1), qt.HasLen, 0)
 }
 
 // TestSuccessElsewhereReleasesRequest crashes three endpoints at once while they run a request that many callers send. It ran
 // successfully on another box, so no box may hold it.
 func TestSuccessElsewhereReleasesRequest(t *testing.T) {
 	c := qt.New(t)
-	w := startFleet(c, allNames...)
-	w.box("g").RecordSuccess(fingerprintOf(1))
+	f := startFleet(c, allNames...)
+	f.box("g").RecordSuccess(fingerprintOf(1))
 	var group errgroup.Group
 	for i, name := range allNames[:3] {
-		group.Go(func() error { w.crashEndpoint(name, 1, fmt.Sprint("x", i)); return nil })
+		group.Go(func() error { f.crashEndpoint(name, 1, fmt.Sprint("x", i)); return nil })
 	}
 	c.Assert(group.Wait(), qt.IsNil)
-	waitUntil(c, func() bool { return len(w.boxesHolding(1)) == 0 })
+	waitUntil(c, func() bool { return len(f.boxesHolding(1)) == 0 })
 }
 
 // TestOperatorReleasesRequest releases a request on one box. All boxes must release it, although the current cell map still
 // contains it. An isolated box does so with the next map.
 func TestOperatorReleasesRequest(t *testing.T) {
 	c := qt.New(t)
-	w := startFleet(c, allNames...)
+	f := startFleet(c, allNames...)
 	for i, incarnation := range []string{"x/1", "y/1", "z/1"} {
-		w.crashEndpoint(allNames[i], 1, incarnation)
+		f.crashEndpoint(allNames[i], 1, incarnation)
 	}
-	w.publishMap()
-	c.Assert(w.boxesHolding(1), qt.DeepEquals, allNames)
-	w.withLock(func() { w.boxes["g"].isolated = true })
-	c.Check(w.box("d").Release(context.Background(), fingerprintOf(1)), qt.IsTrue)
-	c.Check(w.box("d").Release(context.Background(), fingerprintOf(2)), qt.IsFalse)
-	c.Check(w.boxesHolding(1), qt.DeepEquals, []string{"g"})
-	w.publishMap()
-	c.Check(w.boxesHolding(1), qt.HasLen, 0)
-	w.withLock(func() { w.boxes["g"].isolated = false })
+	f.publishMap()
+	c.Assert(f.boxesHolding(1), qt.DeepEquals, allNames)
+	f.withLock(func() { f.boxes["g"].isolated = true })
+	c.Check(f.box("d").Release(context.Background(), fingerprintOf(1)), qt.IsTrue)
+	c.Check(f.box("d").Release(context.Background(), fingerprintOf(2)), qt.IsFalse)
+	c.Check(f.boxesHolding(1), qt.DeepEquals, []string{"g"})
+	f.publishMap()
+	c.Check(f.boxesHolding(1), qt.HasLen, 0)
+	f.withLock(func() { f.boxes["g"].isolated = false })
 	time.Sleep(1500 * time.Millisecond)
-	w.publishMap()
-	c.Check(w.boxesHolding(1), qt.HasLen, 0)
+	f.publishMap()
+	c.Check(f.boxesHolding(1), qt.HasLen, 0)
 }
 
 // waitUntil polls a condition and fails the test if it stays false.
--- a/internal/quarantine/register_test.go
+++ b/internal/quarantine/register_test.go
@@ -278,57 +278,57 @@
 }
 
 // startRun starts a request on a running engine, unless the request is held.
-func (d *simulation) startRun(now time.Time, run streamRun) {
-	if _, held := d.register.CheckHeld(now, fingerprintOf(run.request)); held {
+func (s *simulation) startRun(now time.Time, run streamRun) {
+	if _, held := s.register.CheckHeld(now, fingerprintOf(run.request)); held {
 		if !run.harmful {
-			d.refused[run.request] = true
+			s.refused[run.request] = true
 		}
 		return
 	}
 	for range engineCount {
-		e := d.rng.IntN(engineCount)
-		if now.Before(d.restartedAt[e]) {
+		e := s.rng.IntN(engineCount)
+		if now.Before(s.restartedAt[e]) {
 			continue
 		}
 		run.endsAt = now.Add(streamDuration)
 		if run.harmful {
 			run.endsAt = now.Add(crashDelay)
 		}
-		d.runs[e] = append(d.runs[e], run)
+		s.runs[e] = append(s.runs[e], run)
 		return
 	}
 }
 
 // crashEngine crashes an engine and interrupts all its runs.
-func (d *simulation) crashEngine(now time.Time, e int) {
-	incarnation := fmt.Sprintf("e%d/%d", e, d.incarnations[e])
-	d.incarnations[e]++
-	d.restartedAt[e] = now.Add(restartDelay)
-	for _, run := range d.runs[e] {
-		d.register.Merge(now, crashCase(run.request, incarnation))
+func (s *simulation) crashEngine(now time.Time, e int) {
+	incarnation := fmt.Sprintf("e%d/%d", e, s.incarnations[e])
+	s.incarnations[e]++
+	s.restartedAt[e] = now.Add(restartDelay)
+	for _, run := range s.runs[e] {
+		s.register.Merge(now, crashCase(run.request, incarnation))
 		if run.harmful {
-			d.crashed++
+			s.crashed++
 			continue
 		}
-		d.interrupted++
+		s.interrupted++
 		if run.attempts++; run.attempts < attemptsPerRequest {
-			d.retries = append(d.retries, run)
+			s.retries = append(s.retries, run)
 		}
 	}
-	d.runs[e] = nil
+	s.runs[e] = nil
 }
 
 // finishRuns completes the runs that are due, and crashes the engines whose harmful run is due.
-func (d *simulation) finishRuns(now time.Time) {
-	for e := range d.runs {
-		if slices.ContainsFunc(d.runs[e], func(r streamRun) bool { return r.harmful && !now.Before(r.endsAt) }) {
-			d.crashEngine(now, e)
+func (s *simulation) finishRuns(now time.Time) {
+	for e := range s.runs {
+		if slices.ContainsFunc(s.runs[e], func(r streamRun) bool { return r.harmful && !now.Before(r.endsAt) }) {
+			s.crashEngine(now, e)
 		}
-		d.runs[e] = slices.DeleteFunc(d.runs[e], func(r streamRun) bool {
+		s.runs[e] = slices.DeleteFunc(s.runs[e], func(r streamRun) bool {
 			if now.Before(r.endsAt) {
 				return false
 			}
-			d.register.RecordSuccess(now, fingerprintOf(r.request))
+			s.register.RecordSuccess(now, fingerprintOf(r.request))
 			return true
 		})
 	}
@@ -336,29 +336,29 @@
 
 // simulateDay returns the simulation of a day at its end.
 func simulateDay(seed uint64, otherCrashes, harmful bool) *simulation {
-	d := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), register: newRegister(), refused: map[int]bool{}}
+	s := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), register: newRegister(), refused: map[int]bool{}}
 	next := 10
 	for now := startTime; now.Before(startTime.Add(dayLength)); now = now.Add(step) {
 		elapsed := now.Sub(startTime)
-		d.finishRuns(now)
-		retries := d.retries
-		d.retries = nil
+		s.finishRuns(now)
+		retries := s.retries
+		s.retries = nil
 		for _, run := range retries {
-			d.startRun(now, run)
+			s.startRun(now, run)
 		}
-		if d.rng.Float64() < requestsPerSecond*step.Seconds() {
+		if s.rng.Float64() < requestsPerSecond*step.Seconds() {
 			next++
-			d.startRun(now, streamRun{request: next})
+			s.startRun(now, streamRun{request: next})
 		}
 		if otherCrashes && elapsed > 0 && elapsed%(15*time.Second) == 0 {
-			d.crashEngine(now, d.rng.IntN(engineCount))
-			d.crashEngine(now, d.rng.IntN(engineCount))
+			s.crashEngine(now, s.rng.IntN(engineCount))
+			s.crashEngine(now, s.rng.IntN(engineCount))
 		}
 		if harmful && elapsed%harmfulInterval == 0 {
-			d.startRun(now, streamRun{request: int(elapsed / time.Minute), harmful: true})
+			s.startRun(now, streamRun{request: int(elapsed / time.Minute), harmful: true})
 		}
 	}
-	return d
+	return s
 }
 
 // TestHarmlessRequestsAreRarelyRefused counts the refused harmless requests and the crashed engines over 20 days of each kind.
@@ -378,8 +378,8 @@
 			c := qt.New(t)
 			refused, crashed, interrupted := 0, 0, 0
 			for seed := range uint64(20) {
-				d := simulateDay(seed, test.otherCrashes, test.harmful)
-				refused, crashed, interrupted = refused+len(d.refused), crashed+d.crashed, interrupted+d.interrupted
+				s := simulateDay(seed, test.otherCrashes, test.harmful)
+				refused, crashed, interrupted = refused+len(s.refused), crashed+s.crashed, interrupted+s.interrupted
 			}
 			t.Logf("harmless requests refused: %d, engines crashed: %d, harmless streams interrupted: %d", refused, crashed, interrupted)
 			c.Check(refused <= test.maxRefused, qt.IsTrue, qt.Commentf("%d harmless requests refused", refused))
