--- a/internal/fakeengine/engine.go
+++ b/internal/fakeengine/engine.go
@@ -29,7 +29,7 @@
 	// RateLimit, if set, is sent with all responses as the number of requests per second that the engine accepts from all boxes
 	// together.
 	RateLimit string `json:"rate"`
-	// Leaving adds the header to all responses that announces that the engine is leaving. A restart resets it.
+	// Leaving adds a header to all responses, which announces that the engine is leaving. A restart resets it.
 	Leaving bool `json:"leaving"`
 	// RetryAfter, if set, makes the engine refuse all requests and is sent as the Retry-After header, in seconds.
 	RetryAfter string `json:"rest"`
@@ -70,8 +70,8 @@
 
 func (r refusalError) Error() string { return r.kind + ": " + r.message }
 
-// errAnswerLost makes the handler close the connection without a response.
-var errAnswerLost = errors.New("fakeengine: answer lost")
+// errDropResponse makes the handler close the connection without a response.
+var errDropResponse = errors.New("fakeengine: answer lost")
 
 // Engine is the fake engine.
 type Engine struct {
@@ -87,7 +87,7 @@
 	batchSeats chan struct{}
 	faults     Faults
 	history    History
-	// steps counts generation steps, filled the sequences in them. Both are multiplied by 1000.
+	// steps counts generation steps. filled counts the sequences in them. Both are multiplied by 1000.
 	steps  int64
 	filled int64
 	// recentReports has the reports from which Report selects one that is old enough. The oldest report is first.
@@ -144,7 +144,7 @@
 		err = refusalError{engine.RefusalBadRequest, "unknown action"}
 	}
 	if err == nil && e.consumeFault(&e.faults.DropOrderResponses) {
-		return errAnswerLost
+		return errDropResponse
 	}
 	return err
 }
@@ -160,7 +160,7 @@
 	return true
 }
 
-// checkEpoch refuses an order with an old epoch if ChecksOrders is set, and stores a newer epoch.
+// checkEpoch refuses an order with an old epoch if ChecksEpochs is set, and stores a newer epoch.
 func (e *Engine) checkEpoch(order engine.Order) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fakeengine/handler.go
+++ b/internal/fakeengine/handler.go
@@ -53,7 +53,7 @@
 	mux.HandleFunc("POST /v1/completions", e.handleRun)
 	mux.HandleFunc("POST /orders", e.handleOrder)
 	mux.HandleFunc("GET /report", func(w http.ResponseWriter, _ *http.Request) {
-		// Only requests are refused while Faults.Rest is set. Reports and orders are still accepted.
+		// Faults.RetryAfter makes the engine refuse only requests. Reports and orders are still accepted.
 		_ = e.setNoticeHeaders(w.Header())
 		httpx.WriteJSON(w, http.StatusOK, e.Report())
 	})
@@ -108,7 +108,7 @@
 	cw.cutStream = e.consumeFault(&e.faults.CutStreams)
 	err := e.run(r.Context(), cw.id, req.User, req.Model, req.MaxTokens, cw.writeToken)
 	if err == nil && e.consumeFault(&e.faults.DropResponses) {
-		err = errAnswerLost
+		err = errDropResponse
 	}
 	if err != nil {
 		writeRefusal(w, err)
@@ -166,7 +166,7 @@
 		return nil
 	}
 	if cw.cutStream && i > 0 {
-		return errAnswerLost
+		return errDropResponse
 	}
 	if !cw.headerSet {
 		cw.headerSet = true
--- a/internal/fakeplatform/store.go
+++ b/internal/fakeplatform/store.go
@@ -44,7 +44,7 @@
 	history []objects.Object
 	// lastDropped is the position of the latest change that the history does not contain.
 	lastDropped objects.Position
-	revision    objects.Position
+	position    objects.Position
 	// changed is closed at the next change.
 	changed chan struct{}
 	boxes   []objects.Box
@@ -90,7 +90,7 @@
 	return s.listObjects(nil)
 }
 
-// Restore replaces all objects and the revision by those of an older snapshot, like a platform that is restored from a backup.
+// Restore replaces all objects and the position by those of an older snapshot, like a platform that is restored from a backup.
 func (s *Store) Restore(c objects.Changes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,7 +98,7 @@
 	for _, o := range c.Objects {
 		s.objects[key{o.Kind, o.Name}] = o
 	}
-	s.history, s.lastDropped, s.revision = nil, c.Revision, c.Revision
+	s.history, s.lastDropped, s.position = nil, c.Revision, c.Revision
 	s.cachedList = objects.Changes{}
 	s.notifyWatchers()
 }
@@ -106,7 +106,7 @@
 // RestoreInNewEra restores an older snapshot and starts the next era.
 func (s *Store) RestoreInNewEra(c objects.Changes) {
 	s.mu.Lock()
-	era := s.revision.Era() + 1
+	era := s.position.Era() + 1
 	s.mu.Unlock()
 	next := objects.Changes{Revision: objects.NewPosition(era, c.Revision.Revision())}
 	for _, o := range c.Objects {
@@ -125,7 +125,7 @@
 	defer s.mu.Unlock()
 	o, ok := s.objects[key{kind, name}]
 	if !ok {
-		return objects.Object{Version: objects.NewPosition(s.revision.Era(), 0)}, objects.ErrNotFound
+		return objects.Object{Version: objects.NewPosition(s.position.Era(), 0)}, objects.ErrNotFound
 	}
 	return o, nil
 }
@@ -157,10 +157,10 @@
 
 // listObjects returns all objects of some kinds sorted by path. If kinds is empty, it returns the objects of all kinds.
 func (s *Store) listObjects(kinds []string) objects.Changes {
-	if s.cachedList.Revision == s.revision && s.cachedListKinds == strings.Join(kinds, ",") {
+	if s.cachedList.Revision == s.position && s.cachedListKinds == strings.Join(kinds, ",") {
 		return s.cachedList
 	}
-	c := objects.Changes{Revision: s.revision}
+	c := objects.Changes{Revision: s.position}
 	for _, o := range s.objects {
 		if len(kinds) == 0 || slices.Contains(kinds, o.Kind) {
 			c.Objects = append(c.Objects, o)
@@ -204,10 +204,10 @@
 
 // changesSince returns the changes after a position. It returns objects.ErrGone if the history does not contain all of them.
 func (s *Store) changesSince(kinds []string, from objects.Position) (objects.Changes, error) {
-	if from < s.lastDropped || from > s.revision {
+	if from < s.lastDropped || from > s.position {
 		return objects.Changes{}, objects.ErrGone
 	}
-	c := objects.Changes{Revision: s.revision}
+	c := objects.Changes{Revision: s.position}
 	for _, o := range s.history {
 		if o.Version > from && slices.Contains(kinds, o.Kind) {
 			c.Objects = append(c.Objects, o)
@@ -238,8 +238,8 @@
 	if current := s.objects[k].Version; current != expect && (current.HasRevision() || expect.HasRevision()) {
 		return 0, objects.ErrConflict
 	}
-	s.revision++
-	o.Version = s.revision
+	s.position++
+	o.Version = s.position
 	if o.Deleted {
 		delete(s.objects, k)
 	} else {
--- a/internal/fakeservice/service.go
+++ b/internal/fakeservice/service.go
@@ -1,5 +1,5 @@
 // Package fakeservice implements a fake HTTP service for tests. It counts the executions of each call, so that tests find calls
-// that were repeated although they must not be.
+// that ran more than once although they must not be retried.
 package fakeservice
 
 import (
@@ -21,7 +21,7 @@
 	// RateLimit, if set, is sent with all responses as the number of calls per second that the service accepts from all boxes
 	// together.
 	RateLimit string
-	// Leaving adds the header to all responses that announces that the service is leaving.
+	// Leaving adds a header to all responses, which announces that the service is leaving.
 	Leaving bool
 	// RetryAfter, if set, makes the service refuse all calls and is sent as the Retry-After header, in seconds.
 	RetryAfter string
--- a/internal/fakestore/store.go
+++ b/internal/fakestore/store.go
@@ -12,8 +12,8 @@
 
 // Config configures a Store.
 type Config struct {
-	// PerSecond is the maximum number of loads that start per second. It is unlimited if 0.
-	// AtOnce is the maximum number of loads that run at full speed at the same time.
+	// PerSecond is the maximum number of loads that start per second; 0 sets no limit.
+	// MaxFullSpeedLoads is the maximum number of loads that run at full speed at the same time.
 	PerSecond         float64 `json:"per_second"`
 	MaxFullSpeedLoads int     `json:"at_once"`
 	// LoadTime is the duration of a load at full speed.
@@ -25,7 +25,7 @@
 	Loads int `json:"loads"`
 	// Peak is the maximum number of loads that ran at the same time.
 	Peak int `json:"peak"`
-	// Slowed counts the loads that were slowed down or delayed because they exceeded AtOnce or PerSecond.
+	// Slowed counts the loads that were slowed down or delayed because they exceeded MaxFullSpeedLoads or PerSecond.
 	Slowed int `json:"slowed"`
 }
 
@@ -55,7 +55,7 @@
 }
 
 // startLoad counts a load and returns its duration. The duration includes the delay that PerSecond requires, and is longer if
-// more than AtOnce loads run at the same time.
+// more than MaxFullSpeedLoads loads run at the same time.
 func (s *Store) startLoad() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/invariant/ownership.go
+++ b/internal/invariant/ownership.go
@@ -15,7 +15,6 @@
 }
 
 // CheckSingleAuthority returns an error if two boxes had the right to give orders to the same engine at the same instant.
-// The history must be sorted by time.
 func CheckSingleAuthority(history []Authority) error {
 	type instant struct {
 		at     time.Time
@@ -33,6 +32,7 @@
 }
 
 // CheckEpochsIncrease returns an error if an engine's epoch decreases, or if two boxes have authority in the same epoch of an engine.
+// The history must be sorted by time.
 func CheckEpochsIncrease(history []Authority) error {
 	last := map[string]Authority{}
 	for _, a := range history {
--- a/internal/invariant/requests.go
+++ b/internal/invariant/requests.go
@@ -16,7 +16,7 @@
 	Model string
 }
 
-// CheckAtMostOnce returns an error if a request ran more than once. All outcomes must be of requests that may not be repeated.
+// CheckAtMostOnce returns an error if a request ran more than once. All outcomes must be of requests that must not be retried.
 func CheckAtMostOnce(outcomes []Outcome, runs map[string]int) error {
 	for _, o := range outcomes {
 		if runs[o.RequestID] > 1 {
