--- a/internal/httpx/httpx.go
+++ b/internal/httpx/httpx.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// NewSingleUseTransport returns a transport that uses each connection for only one call. This prevents http.Transport from silently repeating a
+// NewSingleUseTransport returns a transport that uses each connection for only one call. This prevents http.Transport from silently retrying a
 // call after a reused connection turns out to be broken.
 func NewSingleUseTransport() *http.Transport {
 	t := NewTransport(1)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -42,7 +42,7 @@
 	return &Sink{cfg: cfg, lines: make(chan []byte, maxBufferedLines), done: make(chan struct{})}
 }
 
-// Done returns a channel that is closed when Serve ends.
+// Done returns a channel that is closed when Serve returns after the end of its context.
 func (s *Sink) Done() <-chan struct{} { return s.done }
 
 // Dropped returns the number of lines dropped so far.
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -24,7 +24,7 @@
 type Explanation struct {
 	// Candidates lists the engines for an adapter version in order of preference. It is empty if a request ID was given.
 	Candidates []Candidate `json:"candidates,omitempty"`
-	// Requests lists the recent requests that this box handled, newest first.
+	// Requests lists the recent requests of this box with that request ID or adapter version, newest first.
 	Requests []record.Request `json:"requests"`
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -37,20 +37,20 @@
 	InFlight   func() int
 	// RecentRequests holds the recent requests, which GET /explain returns.
 	RecentRequests *record.Log
-	// Quarantine holds the requests that endpoints crashed while running.
+	// Quarantine holds the requests that have crashed endpoints.
 	Quarantine Quarantine
 	// RateLimits returns the rate limits that endpoints have reported, in requests per second.
 	RateLimits func(now time.Time) []ratelimit.Limit
-	// Notices holds the other reports of endpoints: that they are leaving, or that they need a pause.
+	// Notices holds the other notices of endpoints: that they are leaving, or that they request a pause.
 	Notices *notice.Board
 	// LastRestore returns details of the store's last restore from an older copy. It is nil on boxes that do not use package follow.
 	LastRestore func() follow.RestoreStatus
 	Scope       tally.Scope
 }
 
-// Quarantine lists the requests that endpoints crashed while running and allows an operator to release them.
+// Quarantine lists the requests that have crashed endpoints and allows an operator to release them.
 type Quarantine interface {
-	// Cases returns the requests that endpoints crashed while running, sorted by the number of crashes in descending order.
+	// Cases returns the requests that have crashed endpoints, sorted by the number of crashes in descending order.
 	Cases() []quarantine.Case
 	// Release allows the requests with a fingerprint again on all boxes. It reports whether the fingerprint was known.
 	Release(ctx context.Context, f quarantine.Fingerprint) bool
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -29,7 +29,8 @@
 // WriteResult is the response body of a write.
 type WriteResult struct {
 	Outcome Outcome `json:"outcome"`
-	// Version is the store position of the write. The write is in force on every box whose status shows this revision or a later one.
+	// Version is the store position of the write if the resource was created or changed. The write is in force on every box whose status
+	// shows this revision or a later one. After any other outcome, and after a dry run, Version is that of the object before the call.
 	Version objects.Position `json:"version"`
 }
 
--- a/internal/policybench/policy.go
+++ b/internal/policybench/policy.go
@@ -35,7 +35,7 @@
 	Name     string
 	Routing  Routing
 	Eviction Eviction
-	// Uncoordinated lets each engine load adapters immediately. If the loads exceed the budget, all of them are slowed down.
+	// Uncoordinated lets each engine load adapters immediately. A load that starts while the loads exceed the budget takes longer.
 	Uncoordinated bool
 	// Pooled treats all engines of a base model as one large engine. The clairvoyant bound uses it.
 	Pooled bool
--- a/internal/policybench/run.go
+++ b/internal/policybench/run.go
@@ -306,7 +306,7 @@
 	sim.schedule(sim.nextGrantCheck, sim.grantPermits)
 }
 
-// startLoad simulates a load from the store. If uncoordinated loads exceed the budget, they take longer.
+// startLoad simulates a load from the store. An uncoordinated load takes longer if the active loads exceed the budget.
 func (sim *simulation) startLoad(w *worker, a owner.Load) {
 	sim.activeLoads++
 	sim.measurements.Loads++
--- a/internal/result/error.go
+++ b/internal/result/error.go
@@ -34,7 +34,7 @@
 	// Elsewhere lists the addresses that would accept the request, best first.
 	Elsewhere []string
 	// BrokenOff is set if the remote side closed the connection over which it had received the request. It is set only on the box that
-	// sent the request, and is not passed on to callers.
+	// sent the request, and is not sent to callers.
 	BrokenOff bool
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -78,7 +78,7 @@
 
 // Routes configures the handling of requests on routes.
 type Routes struct {
-	// RetryRatio is the number of retries, a fraction, that each request adds to the retry budget. RetryAllowance is the number of
+	// RetryRatio is the fraction of a retry that each request adds to the retry budget. RetryAllowance is the number of
 	// additional retries that all boxes together may send to a service in ten seconds.
 	RetryRatio     float64 `toml:"retry_ratio"`
 	RetryAllowance float64 `toml:"retry_allowance"`
@@ -122,7 +122,7 @@
 	Drain time.Duration `toml:"drain"`
 	// Leave is the maximum duration of a planned stop.
 	Leave time.Duration `toml:"leave"`
-	// Linger is how long a leaving box still serves callers that have not yet learned that it leaves. LastStream is how long it
+	// Linger is how long a leaving box still serves callers that do not know yet that it is leaving. LastStream is how long it
 	// accepts new streams on routes.
 	Linger     time.Duration `toml:"linger"`
 	LastStream time.Duration `toml:"last_stream"`
@@ -146,9 +146,9 @@
 	QuotaTolerance float64       `toml:"quota_tolerance"`
 }
 
-// Quarantine limits how many endpoints a request that makes endpoints end may reach.
+// Quarantine limits how many endpoints a request may crash.
 type Quarantine struct {
-	// Endpoints is the number of endpoints that end while running a request before the request is held. Hold is how long it is held.
+	// Endpoints is the number of crashes after which a request is held. Hold is how long it is held.
 	Endpoints int           `toml:"endpoints"`
 	Hold      time.Duration `toml:"hold"`
 }
@@ -159,8 +159,8 @@
 	Off []policy.Mechanism `toml:"off"`
 }
 
-// Build returns the policy with the mechanisms in Off disabled. Off must have been
-// validated; an invalid list yields the zero policy, which disables nothing.
+// Build returns the policy with the mechanisms in Off disabled. Off must have been validated; an invalid list yields the zero policy,
+// which disables nothing.
 func (p Policy) Build() policy.Policy {
 	chosen, err := policy.New(p.Off)
 	if err != nil {
