--- a/internal/cli/quarantine.go
+++ b/internal/cli/quarantine.go
@@ -15,7 +15,7 @@
 
 func quarantineCommand() *cli.Command {
 	return &cli.Command{
-		Name: "quarantine", Usage: "list the requests that endpoints crashed while running", Action: runQuarantine,
+		Name: "quarantine", Usage: "list the requests that have crashed endpoints", Action: runQuarantine,
 		Commands: []*cli.Command{{
 			Name: "release", Usage: "allow requests with a FINGERPRINT again on all boxes", ArgsUsage: "FINGERPRINT", Action: runRelease,
 		}},
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -89,7 +89,7 @@
 		st.Box, st.Ready, st.Revision, st.InFlight, st.Member.Cell, st.Member.Coordinator, st.Member.Frozen,
 		st.Member.SinceReply.Round(time.Millisecond), cmp.Or(st.Member.Aggregator, "none"), st.Member.ForwardedBeats)
 	if r := st.LastRestore; r != nil {
-		_, _ = fmt.Fprintf(w, "store came back from an older copy: era %d, %s ago; kept %d objects that it lacks, withheld %d that had gone\n",
+		_, _ = fmt.Fprintf(w, "store restored from an older copy: era %d, %s ago; kept %d objects that it lacks, withheld %d that it has again\n",
 			r.Era, r.Ago.Round(time.Second), r.Kept, r.Withheld)
 	}
 	fleet := summarize(topology, st.Member.Coordinator, st.Member.Cell)
--- a/internal/cli/summary.go
+++ b/internal/cli/summary.go
@@ -117,7 +117,7 @@
 		{"requests in quarantine", s.quarantined},
 		{"endpoints that name rates", s.rateLimited},
 		{"endpoints that leave", s.leavingEndpoints},
-		{"endpoints that rest", s.pausedEndpoints},
+		{"endpoints that pause", s.pausedEndpoints},
 	} {
 		if len(group.names) > 0 {
 			_, _ = fmt.Fprintf(w, "%s: %d: %s\n", group.label, len(group.names), joinNames(group.names))
