--- a/internal/box/box.go
+++ b/internal/box/box.go
@@ -72,7 +72,7 @@
 	// quarantine blocks requests that have crashed back ends.
 	quarantine *quarantine.Client
 	// keeper counts the calls of the service addresses that are assigned to this box. places acquires places at all service addresses.
-	// rates holds the limits on requests per second that engines and services report.
+	// rates holds the rate limits that engines and services report.
 	keeper *places.Keeper
 	places *places.Client
 	rates  *ratelimit.Registry
@@ -263,7 +263,7 @@
 	})
 }
 
-// noRedirect makes an HTTP client return a redirect, which is passed on to the caller, instead of following it.
+// noRedirect makes an HTTP client return a redirect, which the box then sends to the caller, instead of following it.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func (b *Box) addParts(api objects.API, records *record.Log) {
--- a/internal/box/process_test.go
+++ b/internal/box/process_test.go
@@ -130,7 +130,7 @@
 	s.outcomes = append(s.outcomes, o)
 }
 
-// injectFault freezes, kills or stops a random box. A frozen box continues after a while, and a box that has ended is replaced.
+// injectFault suspends, kills or stops a random box. A suspended box continues after a while, and a box that has ended is replaced.
 func (s *chaosRun) injectFault(r *rand.Rand, step int) {
 	i := r.IntN(len(s.boxes))
 	p := s.boxes[i]
@@ -166,7 +166,7 @@
 	return strings.Count(o.Response, `"model":"`) == strings.Count(o.Response, `"model":"`+o.Model+`"`)
 }
 
-// TestRequestsUnderBoxFaults kills, freezes and stops boxes while they receive requests that may not be repeated. No request may run twice, be
+// TestRequestsUnderBoxFaults kills, suspends and stops boxes while they receive requests that must not be retried. No request may run twice, be
 // wrongly reported as not run, or get a wrong response.
 func TestRequestsUnderBoxFaults(t *testing.T) {
 	const workers, requests, faults, models = 8, 60, 10, 12
--- a/internal/box/routed.go
+++ b/internal/box/routed.go
@@ -87,7 +87,7 @@
 	// keeper counts the requests at the endpoints that are assigned to this box. places acquires places at all endpoints.
 	keeper *places.Keeper
 	places *places.Client
-	// rates holds the limits on requests per second that endpoints report.
+	// rates holds the rate limits that endpoints report.
 	rates *ratelimit.Registry
 	// notices holds the other notices that endpoints have sent about themselves. noticeClient forwards notices of leaving endpoints to other
 	// boxes.
--- a/internal/box/takeover_test.go
+++ b/internal/box/takeover_test.go
@@ -15,9 +15,9 @@
 	"github.com/bellgap/bellgap/internal/result"
 )
 
-// TestTakeoverKeepsAdapterOfFrozenOwnerLoaded freezes the owner of an engine with one slot in the middle of a stream.
-// The box that takes over the engine must not unload the adapter that the frozen box is using.
-func TestTakeoverKeepsAdapterOfFrozenOwnerLoaded(t *testing.T) {
+// TestTakeoverKeepsAdapterOfSuspendedOwnerLoaded suspends the owner of an engine with one slot in the middle of a stream.
+// The box that takes over the engine must not unload the adapter that the suspended box is using.
+func TestTakeoverKeepsAdapterOfSuspendedOwnerLoaded(t *testing.T) {
 	c := qt.New(t)
 	f := startFleet(c, fleetConfig{engines: []fakeengine.Config{{Slots: 1, Batch: 4, Step: 50 * time.Millisecond}}})
 	f.declareAdapter("other@1")
--- a/internal/box/update_delay_test.go
+++ b/internal/box/update_delay_test.go
@@ -20,7 +20,8 @@
 	"github.com/bellgap/bellgap/internal/settings"
 )
 
-// The users require that a configuration is in effect maxUpdateDelay after its acknowledgement, on boxes without store faults for calmPeriod.
+// The users require that a configuration is in effect maxUpdateDelay after its acknowledgement. The requirement applies to boxes that have had no
+// store faults for calmPeriod.
 const (
 	maxUpdateDelay = 2 * time.Second
 	calmPeriod     = 3 * time.Second
